--- a/Libraries/LibServing/Allotment.cpp
+++ b/Libraries/LibServing/Allotment.cpp
@@ -12,13 +12,13 @@
 /// sums.
 static constexpr double ZonedAllotment = 0.94;
 
-Allotment allotmentFor(const ServingTeam &team, bool isZoned,
+Allotment allotmentFor(const ServingTeam &team, bool isAggregatedByZone,
                        const AllotmentBounds &bounds) {
   const bool isSpread = team.Rate > 0 && bounds.Window > Duration::zero();
   const double spread =
       isSpread ? BurstSpread * static_cast<double>(team.Burst) : 0;
   const double perSecond = isSpread ? spread / toSeconds(bounds.Window) : 0;
-  if (!isZoned) {
+  if (!isAggregatedByZone) {
     return {team.Rate + static_cast<std::int64_t>(perSecond),
             team.Burst - static_cast<std::int64_t>(spread) +
                 bounds.Slack / SlackUsed};
--- a/Libraries/LibServing/Allotment.h
+++ b/Libraries/LibServing/Allotment.h
@@ -33,7 +33,7 @@
 /// A part of the burst comes in evenly over the window instead of at once. Any
 /// window holds the same then, but a team that is always near its rate, for
 /// which a burst is gone once and never comes back, gets it in every window.
-Allotment allotmentFor(const ServingTeam &team, bool isZoned,
+Allotment allotmentFor(const ServingTeam &team, bool isAggregatedByZone,
                        const AllotmentBounds &bounds);
 
 } // namespace sorrelbay
--- a/Libraries/LibServing/CallLife.cpp
+++ b/Libraries/LibServing/CallRetryState.cpp
@@ -1,20 +1,20 @@
-#include "LibServing/CallLife.h"
+#include "LibServing/CallRetryState.h"
 #include "LibBase/Invariant.h"
 
 namespace sorrelbay {
 
-bool CallLife::mayTry(Instant now) const {
+bool CallRetryState::canSend(Instant now) const {
   if (IsSent || IsAnswering || AttemptsLeft <= 0 || now >= Deadline)
     return false;
   return !MayHaveRun || Kind == Repeatability::Idempotent;
 }
 
-bool CallLife::mayResume(Instant now) const {
+bool CallRetryState::canResume(Instant now) const {
   return IsAnswering && !IsSent && AttemptsLeft > 0 && now < Deadline &&
          Kind == Repeatability::Idempotent;
 }
 
-void CallLife::noteSending() {
+void CallRetryState::recordSend() {
   verifyInvariant(!IsSent && AttemptsLeft > 0, "call_sent_in_turn",
                   "a call is sent while it may not be");
   verifyInvariant(!MayHaveRun || Kind == Repeatability::Idempotent,
@@ -25,17 +25,17 @@
   IsSent = true;
 }
 
-void CallLife::noteNotRun() { IsSent = false; }
+void CallRetryState::recordNotRun() { IsSent = false; }
 
-void CallLife::noteFailed() {
+void CallRetryState::recordFailure() {
   MayHaveRun = MayHaveRun || IsSent;
   IsSent = false;
 }
 
-CallEnding CallLife::ending(Instant now) const {
+CallFailureKind CallRetryState::failureKind(Instant now) const {
   if (!IsSent && !MayHaveRun)
-    return CallEnding::NotRun;
-  return now >= Deadline ? CallEnding::TimedOut : CallEnding::Unknown;
+    return CallFailureKind::NotRun;
+  return now >= Deadline ? CallFailureKind::TimedOut : CallFailureKind::Unknown;
 }
 
 } // namespace sorrelbay
--- a/Libraries/LibServing/CallLife.h
+++ b/Libraries/LibServing/CallRetryState.h
@@ -6,7 +6,7 @@
 namespace sorrelbay {
 
 /// How a call ends for its caller when no upstream's answer can be passed on.
-enum class CallEnding {
+enum class CallFailureKind {
   /// It has not run and never will: the caller may send it again.
   NotRun,
   /// An upstream failed, and may have run it.
@@ -19,29 +19,29 @@
 /// decides whether a call may be sent (again), and what may be promised of it.
 /// A booking that is sent twice sends two crews out, and one that ran although
 /// its caller was answered that it had not is sent again by the caller.
-class CallLife {
+class CallRetryState {
 public:
-  CallLife(Repeatability kind, int maxAttempts, Instant deadline)
+  CallRetryState(Repeatability kind, int maxAttempts, Instant deadline)
       : Kind(kind), AttemptsLeft(maxAttempts), Deadline(deadline) {}
 
   /// Whether the call may be sent to an upstream now.
-  bool mayTry(Instant now) const;
+  bool canSend(Instant now) const;
   /// Whether an answer that was begun may go on at another upstream.
-  bool mayResume(Instant now) const;
+  bool canResume(Instant now) const;
   /// Its bytes are about to leave this host: from now on it may have run.
-  void noteSending();
+  void recordSend();
   /// The upstream that it was sent to says that it did not run it.
-  void noteNotRun();
+  void recordNotRun();
   /// The upstream broke off, was silent or answered a failure of its own.
-  void noteFailed();
+  void recordFailure();
   /// Bytes of an answer were passed on: no other answer may follow.
-  void noteAnswering() { IsAnswering = true; }
+  void recordResponseStarted() { IsAnswering = true; }
 
   bool isAnswering() const { return IsAnswering; }
   /// Whether the call was sent more than once.
   int sends() const { return Sends; }
   Instant deadline() const { return Deadline; }
-  CallEnding ending(Instant now) const;
+  CallFailureKind failureKind(Instant now) const;
 
 private:
   Repeatability Kind;
--- a/Libraries/LibServing/CloudOrders.h
+++ b/Libraries/LibServing/CloudHooks.h
@@ -7,9 +7,9 @@
 
 /// Who exercises a duty, and the number by which an older holder is
 /// distinguished from a newer one.
-struct DutyStamp {
+struct LeaseHolder {
   HostId Holder;
-  std::uint64_t Fencing = 0;
+  std::uint64_t FencingToken = 0;
 };
 
 /// So many replicas of one kind in one zone.
@@ -35,11 +35,11 @@
 
 /// The cloud's duties as hooks on the event loop. Each is to be used by the one
 /// host that holds the duties. Callbacks run on the loop's thread, once.
-struct CloudOrders {
-  std::function<void(const DutyStamp &, WindowNumber, const TeamCounts &,
+struct CloudHooks {
+  std::function<void(const LeaseHolder &, WindowNumber, const TeamCounts &,
                      CloudCallback)>
       ReportUsage;
-  std::function<void(const DutyStamp &, const ReplicaOrder &, CloudCallback)>
+  std::function<void(const LeaseHolder &, const ReplicaOrder &, CloudCallback)>
       Order;
 };
 
--- a/Libraries/LibServing/ColdShare.cpp
+++ b/Libraries/LibServing/ColdShare.cpp
@@ -8,8 +8,8 @@
 /// way to the upstream.
 static constexpr Duration Window = milliseconds(1100);
 
-int coldShareOf(const UpstreamId &upstream, const HostId &self,
-                const std::vector<HostId> &hosts, double perSecond) {
+int coldRateShare(const UpstreamId &upstream, const HostId &self,
+                  const std::vector<HostId> &hosts, double perSecond) {
   const auto calls = static_cast<std::size_t>(std::max(0.0, perSecond));
   if (calls == 0 || hosts.empty())
     return 0;
@@ -26,14 +26,14 @@
   return isListed ? static_cast<int>(calls / senders) : 0;
 }
 
-bool ColdAllowance::hasRoom(int share, Instant now) const {
+bool ColdRateLimiter::hasRoom(int share, Instant now) const {
   const auto recent =
       std::count_if(Sends.begin(), Sends.end(),
                     [&](Instant at) { return now - at < Window; });
   return recent < share;
 }
 
-void ColdAllowance::note(Instant now) {
+void ColdRateLimiter::note(Instant now) {
   while (!Sends.empty() && now - Sends.front() >= Window)
     Sends.pop_front();
   Sends.push_back(now);
--- a/Libraries/LibServing/ColdShare.h
+++ b/Libraries/LibServing/ColdShare.h
@@ -13,12 +13,12 @@
 /// not agree by messages: one that has not heard of another host gives that
 /// host's part away once more and no further. A host that the list lacks has
 /// none. 0 where nothing may be sent.
-int coldShareOf(const UpstreamId &upstream, const HostId &self,
-                const std::vector<HostId> &hosts, double perSecond);
+int coldRateShare(const UpstreamId &upstream, const HostId &self,
+                  const std::vector<HostId> &hosts, double perSecond);
 
 /// Keeps one host's sends to one cold upstream to its share in every second,
 /// wherever the second begins. Not thread-safe.
-class ColdAllowance {
+class ColdRateLimiter {
 public:
   /// Whether another call may be sent now.
   bool hasRoom(int share, Instant now) const;
--- a/Libraries/LibServing/EventSplitter.cpp
+++ b/Libraries/LibServing/EventSplitter.cpp
@@ -22,7 +22,7 @@
   return out;
 }
 
-std::string EventSplitter::takePart() {
+std::string EventSplitter::takePartialEvent() {
   std::string out = std::move(Part);
   Part.clear();
   return out;
--- a/Libraries/LibServing/EventSplitter.h
+++ b/Libraries/LibServing/EventSplitter.h
@@ -16,9 +16,9 @@
   /// The id of the last whole event; empty before the first.
   const std::string &lastId() const { return LastId; }
   /// Whether bytes of an event that isn't whole are held back.
-  bool holdsPart() const { return !Part.empty(); }
+  bool hasPartialEvent() const { return !Part.empty(); }
   /// What is held back of an event that isn't whole.
-  std::string takePart();
+  std::string takePartialEvent();
 
 private:
   void readId(std::string_view event);
--- a/Libraries/LibServing/TrueTime.cpp
+++ b/Libraries/LibServing/FleetClock.cpp
@@ -1,16 +1,17 @@
-#include "LibServing/TrueTime.h"
+#include "LibServing/FleetClock.h"
 #include <algorithm>
 #include <vector>
 
 namespace sorrelbay {
 
-void TrueTime::notePeer(const SourceId &peer, Instant peersTime, Instant boot) {
+void FleetClock::notePeer(const SourceId &peer, Instant peersTime,
+                          Instant boot) {
   PeerOffsets[peer] = peersTime - boot;
 }
 
-void TrueTime::forgetPeer(const SourceId &peer) { PeerOffsets.erase(peer); }
+void FleetClock::forgetPeer(const SourceId &peer) { PeerOffsets.erase(peer); }
 
-Instant TrueTime::at(Instant boot) const {
+Instant FleetClock::at(Instant boot) const {
   std::vector<Duration> offsets{OwnOffset};
   for (const auto &[peer, offset] : PeerOffsets)
     offsets.push_back(offset);
--- a/Libraries/LibServing/TrueTime.h
+++ b/Libraries/LibServing/FleetClock.h
@@ -10,9 +10,9 @@
 /// jump by seconds and back; it is read once, when the process starts, and
 /// carried on by the boot clock. A host that started while its clock was off
 /// is outvoted by its peers.
-class TrueTime {
+class FleetClock {
 public:
-  TrueTime(Instant wallAtStart, Instant bootAtStart)
+  FleetClock(Instant wallAtStart, Instant bootAtStart)
       : OwnOffset(wallAtStart - bootAtStart) {}
 
   /// What this host tells its peers.
--- a/Libraries/LibServing/FleetReport.h
+++ b/Libraries/LibServing/FleetReport.h
@@ -2,7 +2,7 @@
 
 #include "LibLoad/EngineDemand.h"
 #include "LibServing/ReplicaTable.h"
-#include "LibServing/TeamMeter.h"
+#include "LibServing/TeamRateLimiter.h"
 #include "LibServing/UsageCounts.h"
 #include <map>
 #include <string>
@@ -34,22 +34,22 @@
   bool IsReady = false;
   bool IsLeaving = false;
   /// Its last call to the store has failed.
-  bool IsCutOff = false;
+  bool IsStoreUnreachable = false;
   bool HoldsDuties = false;
   /// Of the lease that it holds: the revision in the store, and the fencing
   /// number; 0 without one.
   std::uint64_t LeaseRevision = 0;
-  std::uint64_t Fencing = 0;
+  std::uint64_t FencingToken = 0;
   /// Cores that it may use; the largest aggregate for their zones.
   double Capacity = 0;
 
   friend bool operator==(const FleetMember &a, const FleetMember &b) {
     return std::tie(a.Host, a.Zone, a.PeerAddress, a.CallerAddress, a.IsReady,
-                    a.IsLeaving, a.IsCutOff, a.HoldsDuties, a.LeaseRevision,
-                    a.Fencing, a.Capacity) ==
+                    a.IsLeaving, a.IsStoreUnreachable, a.HoldsDuties,
+                    a.LeaseRevision, a.FencingToken, a.Capacity) ==
            std::tie(b.Host, b.Zone, b.PeerAddress, b.CallerAddress, b.IsReady,
-                    b.IsLeaving, b.IsCutOff, b.HoldsDuties, b.LeaseRevision,
-                    b.Fencing, b.Capacity);
+                    b.IsLeaving, b.IsStoreUnreachable, b.HoldsDuties,
+                    b.LeaseRevision, b.FencingToken, b.Capacity);
   }
 };
 
@@ -69,10 +69,10 @@
   /// they pass on, so that the reporter knows how old that is at the most.
   std::int64_t SentAt = 0;
   /// The reporter's idea of the time since 1970, in milliseconds.
-  std::int64_t TrueTimeMs = 0;
+  std::int64_t FleetTimeMs = 0;
   /// The reporter, or all that it aggregates for.
   std::vector<FleetMember> Members;
-  std::map<UpstreamId, OpenWork> Open;
+  std::map<UpstreamId, OutstandingWork> Open;
   /// Engine time that callers ask for there.
   DemandByService Demand;
   std::map<TeamId, UsedUnits> Used;
--- a/Libraries/LibServing/FleetCounting.cpp
+++ b/Libraries/LibServing/FleetReportMerger.cpp
@@ -1,4 +1,4 @@
-#include "LibServing/FleetCounting.h"
+#include "LibServing/FleetReportMerger.h"
 
 namespace sorrelbay {
 
@@ -15,13 +15,14 @@
   return windows;
 }
 
-FleetCounting::FleetCounting(FleetView &view, FleetTables tables,
-                             Instant bornAt, SourceHook onSource)
-    : View(view), Tables(tables), BornAt(bornAt),
+FleetReportMerger::FleetReportMerger(FleetView &view, FleetTables tables,
+                                     Instant processStartedAt,
+                                     SourceHook onSource)
+    : View(view), Tables(tables), ProcessStartedAt(processStartedAt),
       OnSource(std::move(onSource)) {}
 
-void FleetCounting::take(const FleetReport &report, const FleetMember &self,
-                         Instant now) {
+void FleetReportMerger::take(const FleetReport &report, const FleetMember &self,
+                             Instant now) {
   for (const auto &[window, counts] : report.Usage) {
     if (report.Scope == ReportScope::Host)
       Tables.Usage.noteHost(report.Zone, report.Incarnation, window, counts);
@@ -39,7 +40,7 @@
     recount(self, now);
 }
 
-void FleetCounting::count(const FleetReport &report, Instant now) {
+void FleetReportMerger::count(const FleetReport &report, Instant now) {
   const SourceId source = sourceOf(report);
   Tables.Replicas.notePeer(source, report.Open);
   Tables.Demand.notePeer(source, report.Demand);
@@ -48,9 +49,10 @@
   // way of other sums before.
   const bool isCharged = isSum && HasCountedSum && Counted.count(source) == 0;
   HasCountedSum = HasCountedSum || isSum;
-  const bool isOlder = isCharged || report.Uptime > now - BornAt + StartSpread;
+  const bool isOlder =
+      isCharged || report.Uptime > now - ProcessStartedAt + StartSpread;
   for (const auto &[team, used] : report.Used) {
-    PeerUse use;
+    PeerUsage use;
     use.Incarnation = report.Incarnation;
     use.Used = used;
     use.IsOlder = isOlder;
@@ -61,24 +63,24 @@
     const auto level = report.Levels.find(team);
     if (level != report.Levels.end())
       use.Level = level->second;
-    Tables.Meters[team].notePeer(source, use, now);
+    Tables.RateLimiters[team].notePeer(source, use, now);
   }
-  Tables.Time.notePeer(source, fromEpochMilliseconds(report.TrueTimeMs), now);
+  Tables.Time.notePeer(source, fromEpochMilliseconds(report.FleetTimeMs), now);
   FleetReport &known = Counted[source];
   known.Scope = report.Scope;
   known.Reporter = report.Reporter;
   known.Zone = report.Zone;
 }
 
-void FleetCounting::drop(const SourceId &source) {
+void FleetReportMerger::drop(const SourceId &source) {
   Tables.Replicas.forgetPeer(source);
   Tables.Demand.forgetPeer(source);
-  for (auto &[team, meter] : Tables.Meters)
+  for (auto &[team, meter] : Tables.RateLimiters)
     meter.dropPeer(source);
   Tables.Time.forgetPeer(source);
 }
 
-void FleetCounting::recount(const FleetMember &self, Instant now) {
+void FleetReportMerger::recount(const FleetMember &self, Instant now) {
   std::set<SourceId> counting;
   for (const FleetReport *it : View.counted(self, now)) {
     const SourceId source = sourceOf(*it);
@@ -99,23 +101,23 @@
   }
 }
 
-void FleetCounting::agree(Instant now) {
-  for (auto &[team, meter] : Tables.Meters)
+void FleetReportMerger::agree(Instant now) {
+  for (auto &[team, meter] : Tables.RateLimiters)
     meter.agree(now);
 }
 
-void FleetCounting::fillOwn(FleetReport &report, Instant now) const {
+void FleetReportMerger::fillOwnReport(FleetReport &report, Instant now) const {
   report.Open = Tables.Replicas.ownWork();
   report.Demand = Tables.Demand.own(now);
-  for (const auto &[team, meter] : Tables.Meters) {
+  for (const auto &[team, meter] : Tables.RateLimiters) {
     report.Used[team] = meter.used();
-    if (const auto level = meter.knownLevel())
+    if (const auto level = meter.settledLevel())
       report.Levels[team] = *level;
   }
   report.Usage = newest(Tables.Usage.own());
 }
 
-void FleetCounting::fillUsage(FleetReport &sum) const {
+void FleetReportMerger::fillUsage(FleetReport &sum) const {
   sum.Usage =
       newest(sum.Scope == ReportScope::Zone ? Tables.Usage.ownZone()
                                             : Tables.Usage.otherZones());
--- a/Libraries/LibServing/FleetCounting.h
+++ b/Libraries/LibServing/FleetReportMerger.h
@@ -1,9 +1,9 @@
 #pragma once
 
+#include "LibServing/FleetClock.h"
 #include "LibServing/FleetView.h"
 #include "LibServing/ReplicaTable.h"
-#include "LibServing/TeamMeter.h"
-#include "LibServing/TrueTime.h"
+#include "LibServing/TeamRateLimiter.h"
 #include "LibServing/UsageCounts.h"
 #include <functional>
 #include <map>
@@ -15,9 +15,9 @@
 struct FleetTables {
   ReplicaTable &Replicas;
   EngineDemand &Demand;
-  std::map<TeamId, TeamMeter> &Meters;
+  std::map<TeamId, TeamRateLimiter> &RateLimiters;
   UsageCounts &Usage;
-  TrueTime &Time;
+  FleetClock &Time;
 };
 
 /// Puts what other hosts tell into this host's tables, each host's work once:
@@ -25,14 +25,14 @@
 /// other zones. Which of them it is changes when this host begins or ends to
 /// aggregate for its zone, when the fleet grows large, and when hosts go. Not
 /// thread-safe.
-class FleetCounting {
+class FleetReportMerger {
 public:
   /// Called when a source begins or ends to count.
   using SourceHook = std::function<void(const FleetReport &, bool counts)>;
 
-  /// `bornAt` is when this host's process began.
-  FleetCounting(
-      FleetView &view, FleetTables tables, Instant bornAt,
+  /// `processStartedAt` is when this host's process began.
+  FleetReportMerger(
+      FleetView &view, FleetTables tables, Instant processStartedAt,
       SourceHook onSource = [](const FleetReport &, bool) {});
 
   /// A report that the view has taken. `self` is this host as others know it.
@@ -43,7 +43,7 @@
   /// times a second.
   void agree(Instant now);
   /// Puts this host's own work and use into its report.
-  void fillOwn(FleetReport &report, Instant now) const;
+  void fillOwnReport(FleetReport &report, Instant now) const;
   /// Puts the usage of the hosts that a sum covers into it.
   void fillUsage(FleetReport &sum) const;
 
@@ -53,7 +53,7 @@
 
   FleetView &View;
   FleetTables Tables;
-  Instant BornAt;
+  Instant ProcessStartedAt;
   SourceHook OnSource;
   /// Whose reports are in the tables.
   std::map<SourceId, FleetReport> Counted;
--- a/Libraries/LibServing/FleetView.cpp
+++ b/Libraries/LibServing/FleetView.cpp
@@ -26,8 +26,8 @@
 /// tell other zones all the same, or each zone would give out the whole of a
 /// team's allotment.
 static bool ranksBefore(const FleetMember &a, const FleetMember &b) {
-  if (a.IsCutOff != b.IsCutOff)
-    return b.IsCutOff;
+  if (a.IsStoreUnreachable != b.IsStoreUnreachable)
+    return b.IsStoreUnreachable;
   return a.Capacity != b.Capacity ? a.Capacity > b.Capacity : a.Host < b.Host;
 }
 
@@ -50,7 +50,9 @@
       ++HostsSeen;
 }
 
-bool FleetView::isZoned() const { return HostsSeen > Settings.FullMesh; }
+bool FleetView::isAggregatedByZone() const {
+  return HostsSeen > Settings.FullMeshHosts;
+}
 
 bool FleetView::isForUs(const FleetReport &report) const {
   switch (report.Scope) {
@@ -65,7 +67,7 @@
   return false;
 }
 
-bool FleetView::hear(const FleetReport &report, Instant now) {
+bool FleetView::receive(const FleetReport &report, Instant now) {
   if (!isForUs(report))
     return false;
   const SourceId source = sourceOf(report);
@@ -76,7 +78,7 @@
   // Of two that aggregate at the same time the first is believed until it is
   // silent; going to and fro between two sums would charge the teams twice.
   const bool isSum = report.Scope != ReportScope::Host;
-  if (isSum && !isSameLife && now - heard.At < Settings.AggregatorSilence)
+  if (isSum && !isSameLife && now - heard.At < Settings.AggregatorTimeout)
     return false;
   noteMembers(report, now);
   if (report.Scope == ReportScope::Host && report.Zone == Settings.Zone)
@@ -86,11 +88,11 @@
   // holds the ones before it. Later a new aggregator may know of less, or of
   // more that was let in long ago.
   if (report.Scope == ReportScope::Zone)
-    OthersUsed.note(
-        source,
-        {report.Incarnation, report.Used, report.Pace,
-         report.Uptime < Settings.Young ? CountFrom::Known : CountFrom::Now},
-        now);
+    OthersUsed.note(source,
+                    {report.Incarnation, report.Used, report.Pace,
+                     report.Uptime < Settings.StartupPeriod ? CountFrom::Known
+                                                            : CountFrom::Now},
+                    now);
   heard.Report = report;
   heard.At = now;
   if (report.Scope == ReportScope::OwnZone)
@@ -117,7 +119,7 @@
   if (part == OwnParts.end())
     return;
   for (const auto &[id, work] : part->Open) {
-    OpenWork &it = sum.Open[id];
+    OutstandingWork &it = sum.Open[id];
     it.Calls = std::max(0, it.Calls - work.Calls);
     it.PromptTokens =
         std::max<std::int64_t>(0, it.PromptTokens - work.PromptTokens);
@@ -140,11 +142,11 @@
         (report.Scope == ReportScope::OwnZone) == (it.Zone == Settings.Zone);
     if (!isOwnWord && !isOfSum)
       continue;
-    HeardMember &known = Known[it.Host];
+    KnownMember &known = Known[it.Host];
     if (isOwnWord)
       known = {it, now, now};
-    else if (now - known.SpokeAt >= Settings.AggregatorSilence)
-      known = {it, now, known.SpokeAt};
+    else if (now - known.LastReportAt >= Settings.AggregatorTimeout)
+      known = {it, now, known.LastReportAt};
   }
   if (Known.size() != before)
     countHosts();
@@ -160,39 +162,41 @@
                                ? zone != Settings.Zone
                                : zone == report.Zone;
     if (isCovered && named.count(host) == 0 &&
-        now - it.SpokeAt >= Settings.AggregatorSilence)
-      it.HeardAt = std::min(it.HeardAt, now - silenceOf(it));
+        now - it.LastReportAt >= Settings.AggregatorTimeout)
+      it.LastSeenAt = std::min(it.LastSeenAt, now - silenceOf(it));
   }
 }
 
 /// How long a host may be silent before it counts as not answering. Of hosts
 /// that are known by sums news comes by one or two others and less often.
-Duration FleetView::silenceOf(const HeardMember &it) const {
-  const bool isByOwnWord = !isZoned() || it.HeardAt == it.SpokeAt;
+Duration FleetView::silenceOf(const KnownMember &it) const {
+  const bool isByOwnWord =
+      !isAggregatedByZone() || it.LastSeenAt == it.LastReportAt;
   return isByOwnWord ? Settings.Silence : Settings.Silence * 2;
 }
 
-bool FleetView::isAnswering(const HeardMember &it, Instant now) const {
-  return now - it.HeardAt < silenceOf(it);
+bool FleetView::isAnswering(const KnownMember &it, Instant now) const {
+  return now - it.LastSeenAt < silenceOf(it);
 }
 
 /// Whether the host counts where hosts are ranked. One that speaks to this host
 /// is silent after a short time; of one that a sum has named since it spoke
 /// last, if it ever did, the word of the sum counts until the next aggregator
 /// has had the time to begin.
-bool FleetView::isLive(const HeardMember &it, Duration silence,
+bool FleetView::isLive(const KnownMember &it, Duration silence,
                        Instant now) const {
-  if (now - it.HeardAt < silence)
+  if (now - it.LastSeenAt < silence)
     return true;
   const bool isNamed =
-      isZoned() && it.HeardAt - it.SpokeAt >= Settings.AggregatorSilence;
-  return isNamed && now - it.HeardAt < Settings.Silence * 2;
+      isAggregatedByZone() &&
+      it.LastSeenAt - it.LastReportAt >= Settings.AggregatorTimeout;
+  return isNamed && now - it.LastSeenAt < Settings.Silence * 2;
 }
 
-std::vector<HostId> FleetView::forgetSilent(Instant now) {
+std::vector<HostId> FleetView::removeSilent(Instant now) {
   std::vector<HostId> gone;
   for (auto it = Known.begin(); it != Known.end();) {
-    const Duration silence = now - it->second.HeardAt;
+    const Duration silence = now - it->second.LastSeenAt;
     const bool isLeft =
         it->second.Member.IsLeaving && silence > Settings.Silence;
     if (!isLeft && silence < Settings.Gone) {
@@ -226,13 +230,13 @@
 
 std::size_t FleetView::placeInGroup(const FleetMember &self,
                                     Instant now) const {
-  const bool zoned = isZoned();
+  const bool zoned = isAggregatedByZone();
   return static_cast<std::size_t>(
       std::count_if(Known.begin(), Known.end(), [&](const auto &known) {
-        const HeardMember &it = known.second;
+        const KnownMember &it = known.second;
         const bool isOfGroup = !zoned || it.Member.Zone == Settings.Zone;
         return isOfGroup && !it.Member.IsLeaving &&
-               isLive(it, Settings.AggregatorSilence, now) &&
+               isLive(it, Settings.AggregatorTimeout, now) &&
                ranksBefore(it.Member, self);
       }));
 }
@@ -241,20 +245,20 @@
 std::size_t FleetView::placeOfAll(const FleetMember &self, Instant now) const {
   const auto others =
       std::count_if(Known.begin(), Known.end(), [&](const auto &known) {
-        const HeardMember &it = known.second;
+        const KnownMember &it = known.second;
         return it.Member.Zone != Settings.Zone && !it.Member.IsLeaving &&
                isAnswering(it, now) && ranksBefore(it.Member, self);
       });
   return placeInGroup(self, now) +
-         (isZoned() ? static_cast<std::size_t>(others) : 0);
+         (isAggregatedByZone() ? static_cast<std::size_t>(others) : 0);
 }
 
 /// Before it has heard of the others each host is the first that it knows of.
 bool FleetView::hasHeardOthers(Instant now) const {
-  const Duration age = now - Settings.BornAt;
-  if (age < Settings.AggregatorSilence)
+  const Duration age = now - Settings.ProcessStartedAt;
+  if (age < Settings.AggregatorTimeout)
     return false;
-  return !Known.empty() || Registered.empty() || age >= Settings.Young;
+  return !Known.empty() || Registered.empty() || age >= Settings.StartupPeriod;
 }
 
 bool FleetView::aggregates(const FleetMember &self, Instant now) const {
@@ -271,14 +275,14 @@
 /// registered then count, or all hosts of a zone would take themselves for the
 /// first.
 bool FleetView::collects(const FleetMember &self, Instant now) const {
-  if (!isZoned() || aggregates(self, now))
+  if (!isAggregatedByZone() || aggregates(self, now))
     return true;
   std::size_t before = placeInGroup(self, now);
-  if (now - Settings.BornAt < Settings.Young)
+  if (now - Settings.ProcessStartedAt < Settings.StartupPeriod)
     for (const FleetMember &it : unheardOf(Settings.Zone, now))
       if (ranksBefore(it, self))
         ++before;
-  return !self.IsLeaving && before < Settings.Collectors;
+  return !self.IsLeaving && before < Settings.CollectorsPerZone;
 }
 
 bool FleetView::leads(const FleetMember &self, Instant now) const {
@@ -291,26 +295,28 @@
     return groupPeers();
   std::vector<HostId> out = collectors(now);
   const auto unheard = unheardOf(Settings.Zone, now);
-  if (now - Settings.BornAt >= Settings.Young) {
+  if (now - Settings.ProcessStartedAt >= Settings.StartupPeriod) {
     const auto some = someOf(unheard, now);
     out.insert(out.end(), some.begin(), some.end());
     return out;
   }
-  for (std::size_t n = 0; n < unheard.size() && n < Settings.Collectors; ++n)
+  for (std::size_t n = 0; n < unheard.size() && n < Settings.CollectorsPerZone;
+       ++n)
     out.push_back(unheard[n].Host);
   return out;
 }
 
 std::vector<HostId> FleetView::collectors(Instant now) const {
   std::vector<HostId> out;
-  const auto live = ranked(&Settings.Zone, Settings.AggregatorSilence, now);
-  for (std::size_t n = 0; n < live.size() && n < Settings.Collectors; ++n)
+  const auto live = ranked(&Settings.Zone, Settings.AggregatorTimeout, now);
+  for (std::size_t n = 0; n < live.size() && n < Settings.CollectorsPerZone;
+       ++n)
     out.push_back(live[n].Host);
   return out;
 }
 
 std::vector<HostId> FleetView::groupPeers() const {
-  const bool onlyZone = isZoned();
+  const bool onlyZone = isAggregatedByZone();
   std::set<HostId> out;
   for (const auto &[host, it] : Registered)
     if (!onlyZone || it.Zone == Settings.Zone)
@@ -330,7 +336,7 @@
   zones.erase(Settings.Zone);
   std::set<HostId> out;
   const auto addFirst = [&](const std::vector<FleetMember> &hosts) {
-    for (std::size_t n = 0; n < hosts.size() && n < Settings.AggregatorsServed;
+    for (std::size_t n = 0; n < hosts.size() && n < Settings.AggregatorsPerZone;
          ++n)
       out.insert(hosts[n].Host);
   };
@@ -340,7 +346,7 @@
     // Hosts that were cut off aggregate again before other zones hear that they
     // reach the store; what they were not told, their zone would not hear.
     for (FleetMember &it : heard)
-      it.IsCutOff = false;
+      it.IsStoreUnreachable = false;
     std::sort(heard.begin(), heard.end(), ranksBefore);
     addFirst(heard);
     const auto unheard = someOf(unheardOf(zone, now), now);
@@ -391,7 +397,7 @@
 
 std::vector<const FleetReport *> FleetView::counted(const FleetMember &self,
                                                     Instant now) const {
-  const bool zoned = isZoned();
+  const bool zoned = isAggregatedByZone();
   const bool isAggregator = zoned && aggregates(self, now);
   const bool isCollector = collects(self, now);
   const auto counts = [&](const FleetReport &it) {
@@ -419,10 +425,10 @@
     sum[service] += rate;
 }
 
-static void addTo(std::map<UpstreamId, OpenWork> &sum,
-                  const std::map<UpstreamId, OpenWork> &open) {
+static void addTo(std::map<UpstreamId, OutstandingWork> &sum,
+                  const std::map<UpstreamId, OutstandingWork> &open) {
   for (const auto &[id, work] : open) {
-    OpenWork &it = sum[id];
+    OutstandingWork &it = sum[id];
     it.Calls += work.Calls;
     it.PromptTokens += work.PromptTokens;
     it.Tokens += work.Tokens;
@@ -519,15 +525,15 @@
          (it != Known.end() && it->second.Member.Zone == Settings.Zone);
 }
 
-std::vector<HeardMember> FleetView::members() const {
-  std::vector<HeardMember> out;
+std::vector<KnownMember> FleetView::members() const {
+  std::vector<KnownMember> out;
   out.reserve(Known.size());
   for (const auto &[host, it] : Known)
     out.push_back(it);
   return out;
 }
 
-std::vector<HostId> FleetView::everyHost() const {
+std::vector<HostId> FleetView::allHosts() const {
   if (!HasRegistered)
     return {};
   std::set<HostId> out{Settings.Self};
@@ -548,17 +554,17 @@
 bool FleetView::holdsDuties(Instant now) const {
   return std::any_of(Known.begin(), Known.end(), [&](const auto &it) {
     const FleetMember &member = it.second.Member;
-    return member.HoldsDuties && !member.IsCutOff &&
+    return member.HoldsDuties && !member.IsStoreUnreachable &&
            isAnswering(it.second, now);
   });
 }
 
-bool FleetView::hearsSum(Instant now) const {
+bool FleetView::hasRecentZoneSum(Instant now) const {
   const auto it = Reports.find(SourceId("own zone"));
   return it != Reports.end() && now - it->second.At < Settings.Silence;
 }
 
-double FleetView::silentShare(Instant now) const {
+double FleetView::silentFraction(Instant now) const {
   const auto silent =
       std::count_if(Known.begin(), Known.end(), [&](const auto &it) {
         return !it.second.Member.IsLeaving && !isAnswering(it.second, now);
@@ -566,9 +572,9 @@
   return static_cast<double>(silent) / hostCount();
 }
 
-bool FleetView::hearsAny(Duration notLonger, Instant now) const {
+bool FleetView::hasRecentContact(Duration notLonger, Instant now) const {
   return std::any_of(Known.begin(), Known.end(), [&](const auto &it) {
-    return now - it.second.HeardAt < notLonger;
+    return now - it.second.LastSeenAt < notLonger;
   });
 }
 
--- a/Libraries/LibServing/FleetView.h
+++ b/Libraries/LibServing/FleetView.h
@@ -3,7 +3,7 @@
 #include "LibBase/Identifier.h"
 #include "LibBase/Time.h"
 #include "LibServing/FleetReport.h"
-#include "LibServing/UsedSum.h"
+#include "LibServing/UsageAggregator.h"
 #include <deque>
 #include <map>
 #include <set>
@@ -15,12 +15,12 @@
   HostId Self;
   ZoneId Zone;
   /// When this host's process began.
-  Instant BornAt{};
+  Instant ProcessStartedAt{};
   /// Up to so many hosts all report to all. Beyond it only the hosts of a zone
   /// do, and one of them aggregates for the zone.
-  std::size_t FullMesh = 16;
+  std::size_t FullMeshHosts = 16;
   /// A host that is silent for so long no longer aggregates for others ...
-  Duration AggregatorSilence = milliseconds(700);
+  Duration AggregatorTimeout = milliseconds(700);
   /// ... after this time it is left out of address lookups ...
   Duration Silence = milliseconds(1500);
   /// ... and after this time it is forgotten.
@@ -28,21 +28,21 @@
   /// Hosts of each other zone that an aggregator reports to: the one that
   /// aggregates there and the one that would aggregate next, and as many that
   /// would if no host were cut off from the store.
-  std::size_t AggregatorsServed = 2;
+  std::size_t AggregatorsPerZone = 2;
   /// Hosts of a zone that hear all its hosts: the one that aggregates and those
   /// that would next. The others hear the sum.
-  std::size_t Collectors = 3;
+  std::size_t CollectorsPerZone = 3;
   /// A fleet whose oldest process is younger than that has only just started.
-  Duration Young = seconds(3);
+  Duration StartupPeriod = seconds(3);
 };
 
 /// A host and when it was last heard of, by its own word or by one that
 /// aggregates for it.
-struct HeardMember {
+struct KnownMember {
   FleetMember Member;
-  Instant HeardAt{};
+  Instant LastSeenAt{};
   /// By its own word.
-  Instant SpokeAt{};
+  Instant LastReportAt{};
 };
 
 /// What one entry host knows of the others, and who tells what to whom. In a
@@ -61,15 +61,15 @@
   void noteRegistered(const std::vector<FleetMember> &members);
   /// Takes a report; false if it is older than what is known, or not for this
   /// host.
-  bool hear(const FleetReport &report, Instant now);
+  bool receive(const FleetReport &report, Instant now);
   /// The source's newest report as it counts here: a sum over the own zone is
   /// without this host's part. Nothing if there is none.
   const FleetReport *reportOf(const SourceId &source) const;
   /// Drops hosts that have gone; returns them.
-  std::vector<HostId> forgetSilent(Instant now);
+  std::vector<HostId> removeSilent(Instant now);
 
   /// Whether the fleet is so large that zones report sums.
-  bool isZoned() const;
+  bool isAggregatedByZone() const;
   /// Whether this host aggregates for its group: its zone, or in a small fleet
   /// all hosts. The aggregator also asks the store for all of them.
   bool aggregates(const FleetMember &self, Instant now) const;
@@ -110,25 +110,25 @@
   /// Whether the host, or this one, is of this host's zone, as far as is known.
   bool isOfOwnZone(const HostId &host) const;
   /// All other hosts that are known.
-  std::vector<HeardMember> members() const;
+  std::vector<KnownMember> members() const;
   /// Each host that has registered or is known, this one included, also those
   /// that are silent; none before the store has shown who has registered.
-  std::vector<HostId> everyHost() const;
+  std::vector<HostId> allHosts() const;
   /// Hosts that take calls, this one included; at least 1.
   int hostCount() const;
   /// Whether the host was heard of lately enough for callers to be sent there.
-  bool isAnswering(const HeardMember &it, Instant now) const;
+  bool isAnswering(const KnownMember &it, Instant now) const;
   /// Whether another host says that it holds the duties and can use them: one
   /// that is cut off from the store will lose them, and the next holder has to
   /// see the lease unchanged for a whole term.
   bool holdsDuties(Instant now) const;
   /// Whether any other host was heard of, not longer ago.
-  bool hearsAny(Duration notLonger, Instant now) const;
+  bool hasRecentContact(Duration notLonger, Instant now) const;
   /// Whether this zone's aggregator was heard of lately.
-  bool hearsSum(Instant now) const;
+  bool hasRecentZoneSum(Instant now) const;
   /// The part of the hosts that are known and not leaving that was not heard of
   /// lately, in [0, 1].
-  double silentShare(Instant now) const;
+  double silentFraction(Instant now) const;
   const FleetViewSettings &settings() const { return Settings; }
 
 private:
@@ -140,7 +140,7 @@
   /// What a report of this host held.
   struct OwnPart {
     std::uint64_t Sequence = 0;
-    std::map<UpstreamId, OpenWork> Open;
+    std::map<UpstreamId, OutstandingWork> Open;
     DemandByService Demand;
     std::map<TeamId, UsedUnits> Used;
   };
@@ -148,10 +148,10 @@
   void countHosts();
   bool isForUs(const FleetReport &report) const;
   void takeOutOwn(FleetReport &sum) const;
-  bool isLive(const HeardMember &it, Duration silence, Instant now) const;
+  bool isLive(const KnownMember &it, Duration silence, Instant now) const;
   void noteMembers(const FleetReport &report, Instant now);
   bool hasHeardOthers(Instant now) const;
-  Duration silenceOf(const HeardMember &it) const;
+  Duration silenceOf(const KnownMember &it) const;
   std::vector<FleetMember> ranked(const ZoneId *zone, Duration silence,
                                   Instant now) const;
   std::vector<FleetMember> unheardOf(const ZoneId &zone, Instant now) const;
@@ -163,14 +163,14 @@
   FleetViewSettings Settings;
   std::map<HostId, FleetMember> Registered;
   bool HasRegistered = false;
-  std::map<HostId, HeardMember> Known;
+  std::map<HostId, KnownMember> Known;
   /// Hosts that have registered or are known, this one included.
   std::size_t HostsSeen = 1;
   std::map<SourceId, Heard> Reports;
   /// Of this host's last reports, the oldest first.
   std::deque<OwnPart> OwnParts;
-  UsedSum ZoneUsed;
-  UsedSum OthersUsed;
+  UsageAggregator ZoneUsed;
+  UsageAggregator OthersUsed;
 };
 
 /// Whose report it is.
--- a/Libraries/LibServing/ReplicaPlan.cpp
+++ b/Libraries/LibServing/ReplicaAutoscaler.cpp
@@ -1,4 +1,4 @@
-#include "LibServing/ReplicaPlan.h"
+#include "LibServing/ReplicaAutoscaler.h"
 #include <algorithm>
 #include <cmath>
 #include <numeric>
@@ -11,43 +11,43 @@
 /// From a replica's boot until its entry shows.
 static constexpr Duration BootMargin = milliseconds(700);
 
-ReplicaPlan::ReplicaPlan(ScalingBounds bounds, EngineShape engine,
-                         ReplicaPlanSettings settings)
+ReplicaAutoscaler::ReplicaAutoscaler(ScalingBounds bounds, EngineShape engine,
+                                     ReplicaAutoscalerSettings settings)
     : Bounds(std::move(bounds)), Engine(engine), Settings(settings) {}
 
-int ReplicaPlan::replicasFor(const ServiceLoad &load) const {
+int ReplicaAutoscaler::replicasFor(const ServiceLoad &load) const {
   const double byCalls = load.OpenCalls / (Engine.Slots * Settings.CallShare);
   const double byTokens = Engine.MemoryTokens <= 0
                               ? 0
                               : static_cast<double>(load.OpenTokens) /
                                     (static_cast<double>(Engine.MemoryTokens) *
                                      Settings.TokenShare);
-  const double byReading = load.EngineSeconds / Settings.ReadingShare;
+  const double byReading = load.EngineSeconds / Settings.TargetPrefillShare;
   const double most = std::max({byCalls, byTokens, byReading});
   return std::max(1, static_cast<int>(std::ceil(most)));
 }
 
-int ReplicaPlan::assured() const {
+int ReplicaAutoscaler::assured() const {
   return static_cast<int>(std::ceil(Certain * Settings.OnDemandShare));
 }
 
-bool ReplicaPlan::knowsLoad(Instant now) const {
+bool ReplicaAutoscaler::knowsLoad(Instant now) const {
   return LoadSince != Instant{} && now - LoadSince > Settings.PeakMemory;
 }
 
-bool ReplicaPlan::isScarce(Instant now) const {
+bool ReplicaAutoscaler::isScarce(Instant now) const {
   return ScarceSince != Instant{} && now - ScarceSince < Settings.ScarceMemory;
 }
 
-void ReplicaPlan::rememberPeak(const ServiceLoad &load, int serving,
-                               Instant now) {
+void ReplicaAutoscaler::rememberPeak(const ServiceLoad &load, int serving,
+                                     Instant now) {
   int wanted = replicasFor(load);
   // Calls pile up where replicas are missing; their number then speaks of what
   // is missing, not of what will be needed once it is there. It is looked at
   // anew when what was ordered has had the time to come.
   const bool isShort = Kept > 0 && serving < Kept;
   const bool isNew = ShortSince == Instant{} ||
-                     now - ShortSince > 2 * Bounds.BootTime + OrderMargin;
+                     now - ShortSince > 2 * Bounds.StartupTime + OrderMargin;
   if (!isShort) {
     ShortSince = {};
   } else if (isNew) {
@@ -68,9 +68,10 @@
     Needed = std::max(Needed, count);
 }
 
-void ReplicaPlan::add(std::vector<ReplicaOrder> &out, const ServiceId &service,
-                      const ZoneId &zone, bool isReclaimable, int count,
-                      int seen, Instant now) {
+void ReplicaAutoscaler::add(std::vector<ReplicaOrder> &out,
+                            const ServiceId &service, const ZoneId &zone,
+                            bool isReclaimable, int count, int seen,
+                            Instant now) {
   Ordered &last = Last[{zone, isReclaimable}];
   if (count == seen && last.Count < 0)
     return;
@@ -80,7 +81,7 @@
     return;
   const bool isSame = last.Count == count;
   const bool isStuck =
-      seen != count && now - last.At > Bounds.BootTime + OrderMargin;
+      seen != count && now - last.At > Bounds.StartupTime + OrderMargin;
   if (isSame && !isStuck)
     return;
   out.push_back({service, zone, isReclaimable, count});
@@ -89,8 +90,8 @@
 /// Begins with what an earlier holder has ordered, without what it kept for the
 /// loss of a zone; later the reclaimable ones are this plan's own. Where a zone
 /// has none that loss has come, and others may not be had.
-void ReplicaPlan::takeOver(const std::map<ZoneId, ZoneReplicas> &seen,
-                           Instant now) {
+void ReplicaAutoscaler::takeOver(const std::map<ZoneId, ZoneReplicas> &seen,
+                                 Instant now) {
   const int zones = static_cast<int>(seen.size());
   int all = 0;
   int reclaimable = 0;
@@ -111,8 +112,8 @@
     ScarceSince = now;
 }
 
-void ReplicaPlan::keepLevel(const std::map<ZoneId, ZoneReplicas> &seen,
-                            Instant now) {
+void ReplicaAutoscaler::keepLevel(const std::map<ZoneId, ZoneReplicas> &seen,
+                                  Instant now) {
   if (Needed > 1 && LoadSince == Instant{})
     LoadSince = now;
   int onDemand = 0;
@@ -137,21 +138,21 @@
 }
 
 /// Replicas of the kind that serve in the zone or will once they have booted.
-int ReplicaPlan::expected(const ZoneId &zone, bool isReclaimable, int seen,
-                          Instant now) const {
+int ReplicaAutoscaler::expected(const ZoneId &zone, bool isReclaimable,
+                                int seen, Instant now) const {
   const auto it = Last.find({zone, isReclaimable});
   const bool mayBoot = it != Last.end() && it->second.Count > seen &&
-                       now - it->second.At < Bounds.BootTime + BootMargin &&
+                       now - it->second.At < Bounds.StartupTime + BootMargin &&
                        it->second.RefusedAt == Instant{};
   return mayBoot ? it->second.Count : seen;
 }
 
 /// A notice is the first that is heard of a shortage; waiting for the first
 /// refusal costs the seconds that the notice gives.
-void ReplicaPlan::rememberNotices(const std::map<ZoneId, ZoneReplicas> &seen,
-                                  Instant now) {
+void ReplicaAutoscaler::rememberNotices(
+    const std::map<ZoneId, ZoneReplicas> &seen, Instant now) {
   for (const auto &[zone, it] : seen) {
-    if (!it.IsReclaimed) {
+    if (!it.HasReclaimNotice) {
       UnderNotice.erase(zone);
       continue;
     }
@@ -168,8 +169,8 @@
 
 /// Reclaimable replicas that may go before others are to be had, by how many
 /// zones have gone lately.
-int ReplicaPlan::coverOf(std::vector<int> reclaimableByZone,
-                         Instant now) const {
+int ReplicaAutoscaler::coverOf(std::vector<int> reclaimableByZone,
+                               Instant now) const {
   if (!isScarce(now))
     return 0;
   std::sort(reclaimableByZone.rbegin(), reclaimableByZone.rend());
@@ -181,8 +182,9 @@
 }
 
 /// What the usable ones of so many zones should have.
-ReplicaPlan::Aim ReplicaPlan::aimAt(const std::map<ZoneId, ZoneReplicas> &seen,
-                                    int zones, Instant now) {
+ReplicaAutoscaler::Aim
+ReplicaAutoscaler::aimAt(const std::map<ZoneId, ZoneReplicas> &seen, int zones,
+                         Instant now) {
   Aim aim;
   if (Bounds.ReclaimablePrice >= 1) {
     aim.OnDemand = Kept;
@@ -190,13 +192,14 @@
   }
   // One zone may lose its replicas at any time; one that is evacuated has.
   const int left = std::clamp(zones - 1, 1, static_cast<int>(seen.size()));
-  aim.ReclaimablePerZone = std::clamp((Kept + left - 1) / left,
-                                      std::max(1, Bounds.Least), Bounds.Most);
+  aim.ReclaimablePerZone =
+      std::clamp((Kept + left - 1) / left, std::max(1, Bounds.MinReplicas),
+                 Bounds.MaxReplicas);
   rememberNotices(seen, now);
   std::vector<int> coming;
   coming.reserve(seen.size());
   for (const auto &[zone, it] : seen)
-    coming.push_back(it.IsReclaimed
+    coming.push_back(it.HasReclaimNotice
                          ? it.Reclaimable
                          : expected(zone, true, it.Reclaimable, now));
   const int all = std::accumulate(coming.begin(), coming.end(), 0);
@@ -207,8 +210,8 @@
 /// On-demand replicas by zone: those that are there stay, others come where
 /// they are cheapest.
 std::map<ZoneId, int>
-ReplicaPlan::spreadOnDemand(const std::map<ZoneId, ZoneReplicas> &seen,
-                            int count) const {
+ReplicaAutoscaler::spreadOnDemand(const std::map<ZoneId, ZoneReplicas> &seen,
+                                  int count) const {
   std::map<ZoneId, int> out;
   std::vector<std::pair<double, ZoneId>> byPrice;
   for (const auto &[zone, it] : seen) {
@@ -229,7 +232,7 @@
     isPlaced = false;
     for (const auto &[price, zone] : byPrice) {
       const ZoneReplicas &it = seen.at(zone);
-      if (left == 0 || out[zone] + it.Reclaimable >= Bounds.Most)
+      if (left == 0 || out[zone] + it.Reclaimable >= Bounds.MaxReplicas)
         continue;
       ++out[zone];
       --left;
@@ -240,9 +243,9 @@
 }
 
 std::vector<ReplicaOrder>
-ReplicaPlan::orders(const ServiceId &service,
-                    const std::map<ZoneId, ZoneReplicas> &seen,
-                    const ServiceLoad &load, Instant now) {
+ReplicaAutoscaler::orders(const ServiceId &service,
+                          const std::map<ZoneId, ZoneReplicas> &seen,
+                          const ServiceLoad &load, Instant now) {
   if (seen.empty())
     return {};
   // What stands in an evacuated zone serves nobody, and is left as it is: it
@@ -263,9 +266,9 @@
 }
 
 std::vector<ReplicaOrder>
-ReplicaPlan::ordersIn(const ServiceId &service,
-                      const std::map<ZoneId, ZoneReplicas> &seen, int zones,
-                      Instant now) {
+ReplicaAutoscaler::ordersIn(const ServiceId &service,
+                            const std::map<ZoneId, ZoneReplicas> &seen,
+                            int zones, Instant now) {
   std::vector<ReplicaOrder> out;
   int serving = 0;
   for (const auto &[zone, it] : seen)
@@ -278,10 +281,10 @@
     onDemand += it.OnDemand;
   }
   for (const auto &[zone, it] : seen) {
-    const int room = std::max(0, Bounds.Most - it.OnDemand);
+    const int room = std::max(0, Bounds.MaxReplicas - it.OnDemand);
     // One that is sent away now may not be had again.
     const int least = isScarce(now) ? it.Reclaimable : 0;
-    if (!it.IsReclaimed && Bounds.ReclaimablePrice < 1)
+    if (!it.HasReclaimNotice && Bounds.ReclaimablePrice < 1)
       add(out, service, zone, true,
           std::min(std::max(least, aim.ReclaimablePerZone), room),
           it.Reclaimable, now);
@@ -301,15 +304,15 @@
     return out;
   for (const auto &[zone, count] : spreadOnDemand(coming, aim.OnDemand)) {
     const ZoneReplicas &it = seen.at(zone);
-    const int least = std::max(0, Bounds.Least - it.Reclaimable);
+    const int least = std::max(0, Bounds.MinReplicas - it.Reclaimable);
     add(out, service, zone, false,
         std::max(count, std::min(least, it.OnDemand)), it.OnDemand, now);
   }
   return out;
 }
 
-void ReplicaPlan::noteResult(const ReplicaOrder &order, CloudResult result,
-                             Instant now) {
+void ReplicaAutoscaler::noteResult(const ReplicaOrder &order,
+                                   CloudResult result, Instant now) {
   Ordered &last = Last[{order.Zone, order.IsReclaimable}];
   if (result == CloudResult::Accepted) {
     last.Count = order.Count;
--- a/Libraries/LibServing/ReplicaPlan.h
+++ b/Libraries/LibServing/ReplicaAutoscaler.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "LibBase/Time.h"
-#include "LibServing/CloudOrders.h"
+#include "LibServing/CloudHooks.h"
 #include "LibServing/ServingPlan.h"
 #include <map>
 #include <set>
@@ -16,7 +16,7 @@
   int OnDemand = 0;
   int Reclaimable = 0;
   /// Reclaimable ones have been given notice here and are not yet gone.
-  bool IsReclaimed = false;
+  bool HasReclaimNotice = false;
   /// Its replicas get no calls for as long as operators say so.
   bool IsEvacuated = false;
 };
@@ -31,14 +31,14 @@
   double EngineSeconds = 0;
 };
 
-struct ReplicaPlanSettings {
+struct ReplicaAutoscalerSettings {
   /// The part of its places, and of its memory, that a replica should have in
   /// use; above it first tokens get late.
   double CallShare = 0.28;
   double TokenShare = 0.36;
   /// The part of its time that a replica should spend on reading prompts. The
   /// rest is for the steps between and for arrivals that come in clumps.
-  double ReadingShare = 0.4;
+  double TargetPrefillShare = 0.4;
   /// On-demand replicas stand in for reclaimable ones up to this part of what
   /// is provided for: they cost several times as much, and a fuller replica is
   /// late for few.
@@ -67,10 +67,10 @@
 /// carry the load when zones lose their reclaimable ones, reclaimable ones
 /// where they are cheaper, on-demand ones only until those have come. Belongs
 /// to the holder of the duty; a new holder begins with what it sees.
-class ReplicaPlan {
+class ReplicaAutoscaler {
 public:
-  explicit ReplicaPlan(ScalingBounds bounds, EngineShape engine,
-                       ReplicaPlanSettings settings = {});
+  explicit ReplicaAutoscaler(ScalingBounds bounds, EngineShape engine,
+                             ReplicaAutoscalerSettings settings = {});
 
   /// The orders that are due, by what is seen now. An order that was accepted
   /// is not given again until another is needed.
@@ -119,7 +119,7 @@
 
   ScalingBounds Bounds;
   EngineShape Engine;
-  ReplicaPlanSettings Settings;
+  ReplicaAutoscalerSettings Settings;
   std::vector<std::pair<Instant, int>> Peaks;
   std::map<Place, Ordered> Last;
   int Needed = 0;
--- a/Libraries/LibServing/ReplicaRecord.h
+++ b/Libraries/LibServing/ReplicaRecord.h
@@ -22,7 +22,7 @@
   bool IsReclaimable = false;
   /// It has just started and is slow for so long; more than its service's cold
   /// rate makes it crash.
-  Duration ColdFor{};
+  Duration ColdDuration{};
   /// Set when a leaving one says how soon it is gone.
   std::optional<Duration> LeavesIn;
   /// When this life began, in milliseconds since 1970 by the upstream's clock;
@@ -32,7 +32,7 @@
 
 /// Whether the cloud takes the replica back. One that was sent away leaves,
 /// too, but says nothing of what others may expect.
-inline bool isUnderNotice(const ReplicaRecord &record) {
+inline bool hasReclaimNotice(const ReplicaRecord &record) {
   return record.IsLeaving && record.IsReclaimable &&
          record.LeavesIn.has_value();
 }
--- a/Libraries/LibServing/ReplicaTable.cpp
+++ b/Libraries/LibServing/ReplicaTable.cpp
@@ -23,8 +23,8 @@
     : Settings(settings) {}
 
 void ReplicaTable::note(const ReplicaRecord &record, Instant now) {
-  const Instant coldUntil = record.ColdFor > Duration::zero()
-                                ? now + record.ColdFor + ColdMargin
+  const Instant coldUntil = record.ColdDuration > Duration::zero()
+                                ? now + record.ColdDuration + ColdMargin
                                 : Instant{};
   const auto found = Entries.find(record.Id);
   if (found != Entries.end()) {
@@ -131,7 +131,7 @@
   if (rate == ColdRates.end() || rate->second <= 0 || !isCold(entry, now))
     return true;
   if (!entry.ColdShare)
-    entry.ColdShare = coldShareOf(entry.Record.Id, Self, Hosts, rate->second);
+    entry.ColdShare = coldRateShare(entry.Record.Id, Self, Hosts, rate->second);
   return entry.Allowance.hasRoom(*entry.ColdShare, now);
 }
 
@@ -151,9 +151,9 @@
   return entry.Record.OfService == request.ForService &&
          !entry.Record.IsLeaving && !wasTried &&
          !isEvacuated(entry.Record.InZone) &&
-         isHome(entry.Record.InZone, request.RouteHomes) &&
-         isHome(entry.Record.InZone, request.TeamHomes) &&
-         isOfVersion(entry.Record.OfVersion, request.Version);
+         isHome(entry.Record.InZone, request.RouteRegions) &&
+         isHome(entry.Record.InZone, request.TeamRegions) &&
+         allowsVersion(entry.Record.OfVersion, request.Version);
 }
 
 /// What a call's conversation is known by; empty if it belongs to none.
@@ -261,17 +261,18 @@
     out.push_back(candidate);
   }
   for (Candidate &it : out) {
-    const OpenWork &own = it.Place->Own;
-    const OpenWork &peers = it.Place->Peers;
+    const OutstandingWork &own = it.Place->Own;
+    const OutstandingWork &peers = it.Place->Peers;
     const double slowness = model.slownessOf(it.Place->Record.Id, now);
-    it.ToRead = tokensToRead(it, request, it.Draw == homeDraw, out.size(), now);
+    it.TokensToPrefill =
+        tokensToRead(it, request, it.Draw == homeDraw, out.size(), now);
     it.Ahead = static_cast<double>(own.PromptTokens + peers.PromptTokens);
-    it.Wait = slowness * model.readingTime(it.Ahead);
-    const double reading = slowness * model.readingTime(it.ToRead);
+    it.Wait = slowness * model.prefillTime(it.Ahead);
+    const double reading = slowness * model.prefillTime(it.TokensToPrefill);
     it.FirstToken = slowness * model.base() + it.Wait + reading;
-    it.Cost = it.Wait + Settings.ReadingWeight * reading +
+    it.Cost = it.Wait + Settings.PrefillWeight * reading +
               slowness * (model.base() +
-                          Settings.CallWeight * (own.Calls + peers.Calls));
+                          Settings.OpenCallWeight * (own.Calls + peers.Calls));
   }
   return out;
 }
@@ -285,7 +286,7 @@
   for (const Candidate &it : all)
     least = std::min(least, it.Cost);
   const double allowed =
-      least * (1 + Settings.NearEqualShare) + Settings.NearEqual;
+      least * (1 + Settings.CostToleranceShare) + Settings.CostTolerance;
   const Candidate *best = nullptr;
   for (const Candidate &it : all)
     if (it.Cost <= allowed && (!best || it.Draw > best->Draw))
@@ -306,7 +307,7 @@
   const std::vector<Candidate> all = candidates(able, request, now);
   const Candidate &best = bestOf(all);
   choice.Id = best.Place->Record.Id;
-  choice.ToRead = static_cast<std::int64_t>(best.ToRead);
+  choice.TokensToPrefill = static_cast<std::int64_t>(best.TokensToPrefill);
   choice.Ahead = static_cast<std::int64_t>(best.Ahead);
   choice.Wait = fromSeconds(best.Wait / 1000);
   choice.FirstToken = fromSeconds(best.FirstToken / 1000);
@@ -321,13 +322,13 @@
 }
 
 void ReplicaTable::noteFirstToken(const UpstreamId &id,
-                                  const FirstTokenSeen &seen, Instant now) {
+                                  const FirstTokenSample &seen, Instant now) {
   const auto it = Entries.find(id);
   if (it != Entries.end())
     Models[it->second.Record.OfService].note(id, seen, now);
 }
 
-void ReplicaTable::noteSent(const UpstreamId &id, const CallWork &work,
+void ReplicaTable::noteSent(const UpstreamId &id, const CallCost &work,
                             Instant now) {
   const auto it = Entries.find(id);
   if (it == Entries.end())
@@ -344,13 +345,13 @@
   it->second.Own.Tokens += work.Tokens;
 }
 
-void ReplicaTable::noteFirstByte(const UpstreamId &id, const CallWork &work) {
+void ReplicaTable::noteFirstByte(const UpstreamId &id, const CallCost &work) {
   const auto it = Entries.find(id);
   if (it != Entries.end())
     it->second.Own.PromptTokens -= work.PromptTokens;
 }
 
-void ReplicaTable::noteEnded(const UpstreamId &id, const CallWork &work,
+void ReplicaTable::noteEnded(const UpstreamId &id, const CallCost &work,
                              bool hadFirstByte, SendResult result,
                              Instant now) {
   const auto it = Entries.find(id);
@@ -378,7 +379,7 @@
 }
 
 void ReplicaTable::judge(Entry &entry, SendResult result, Instant now) {
-  if (result == SendResult::Neither) {
+  if (result == SendResult::Inconclusive) {
     entry.IsProbed = false;
     return;
   }
@@ -409,8 +410,8 @@
 }
 
 void ReplicaTable::notePeer(const SourceId &peer,
-                            std::map<UpstreamId, OpenWork> open) {
-  std::map<UpstreamId, OpenWork> &known = PeerWork[peer];
+                            std::map<UpstreamId, OutstandingWork> open) {
+  std::map<UpstreamId, OutstandingWork> &known = PeerWork[peer];
   for (const auto &[id, work] : known) {
     const auto it = Entries.find(id);
     if (it == Entries.end())
@@ -435,15 +436,15 @@
   PeerWork.erase(peer);
 }
 
-std::map<UpstreamId, OpenWork> ReplicaTable::ownWork() const {
-  std::map<UpstreamId, OpenWork> out;
+std::map<UpstreamId, OutstandingWork> ReplicaTable::ownWork() const {
+  std::map<UpstreamId, OutstandingWork> out;
   for (const auto &[id, entry] : Entries)
     if (entry.Own.Calls != 0)
       out[id] = entry.Own;
   return out;
 }
 
-OpenWork ReplicaTable::workAt(const UpstreamId &id) const {
+OutstandingWork ReplicaTable::workAt(const UpstreamId &id) const {
   const auto it = Entries.find(id);
   if (it == Entries.end())
     return {};
@@ -467,7 +468,7 @@
     out.Calls += entry.Own.Calls + entry.Peers.Calls;
     out.PromptTokens += entry.Own.PromptTokens + entry.Peers.PromptTokens;
     out.Tokens += entry.Own.Tokens + entry.Peers.Tokens;
-    out.Places += entry.Record.Slots;
+    out.CallSlots += entry.Record.Slots;
     ++out.Replicas;
   }
   return out;
--- a/Libraries/LibServing/ReplicaTable.h
+++ b/Libraries/LibServing/ReplicaTable.h
@@ -3,7 +3,7 @@
 #include "LibBase/Identifier.h"
 #include "LibBase/Time.h"
 #include "LibLoad/EngineModel.h"
-#include "LibLoad/PromptCache.h"
+#include "LibLoad/PromptCacheEstimate.h"
 #include "LibServing/ColdShare.h"
 #include "LibServing/ReplicaRecord.h"
 #include "LibServing/ServingCall.h"
@@ -16,7 +16,7 @@
 namespace sorrelbay {
 
 /// Work that is open at one upstream.
-struct OpenWork {
+struct OutstandingWork {
   /// Calls that were sent and have no whole answer.
   int Calls = 0;
   /// Prompt tokens to be read of those whose first byte has not come.
@@ -25,33 +25,35 @@
   /// longest answers that they may get.
   std::int64_t Tokens = 0;
 
-  friend bool operator==(const OpenWork &a, const OpenWork &b) {
+  friend bool operator==(const OutstandingWork &a, const OutstandingWork &b) {
     return a.Calls == b.Calls && a.PromptTokens == b.PromptTokens &&
            a.Tokens == b.Tokens;
   }
 };
 
 /// What one call adds to an upstream's work.
-struct CallWork {
+struct CallCost {
   /// Prompt tokens that it is expected to read, without what it has cached.
   std::int64_t PromptTokens = 0;
   std::int64_t Tokens = 0;
 };
 
 /// Which of a service's versions a call goes to.
-struct VersionChoice {
+struct VersionPreference {
   /// Goes there if an upstream of it can be had; empty for any.
   VersionId First;
   /// Not even if there is no other.
   VersionId Never;
 
-  friend bool operator==(const VersionChoice &a, const VersionChoice &b) {
+  friend bool operator==(const VersionPreference &a,
+                         const VersionPreference &b) {
     return a.First == b.First && a.Never == b.Never;
   }
 };
 
 /// Whether a call with that choice goes to the version.
-inline bool isOfVersion(const VersionId &version, const VersionChoice &choice) {
+inline bool allowsVersion(const VersionId &version,
+                          const VersionPreference &choice) {
   if (!choice.Never.empty() && version == choice.Never)
     return false;
   return choice.First.empty() || version == choice.First;
@@ -64,10 +66,10 @@
   /// The prompt's parts; the last but one is what a conversation shares.
   std::vector<PromptPart> Prompt;
   std::int64_t PromptTokens = 0;
-  VersionChoice Version;
+  VersionPreference Version;
   /// Regions that the call's route and its team are bound to; empty for all.
-  std::vector<std::string> RouteHomes;
-  std::vector<std::string> TeamHomes;
+  std::vector<std::string> RouteRegions;
+  std::vector<std::string> TeamRegions;
   /// Hosts that send calls to the service, this one included.
   int Hosts = 1;
   /// Upstreams that this call has been sent to.
@@ -80,7 +82,7 @@
 struct ReplicaChoice {
   UpstreamId Id;
   /// Prompt tokens that the upstream has to read for it.
-  std::int64_t ToRead = 0;
+  std::int64_t TokensToPrefill = 0;
   /// Prompt tokens of other calls that it has to read first.
   std::int64_t Ahead = 0;
   /// How long those take it.
@@ -99,20 +101,20 @@
   /// No connection, a broken one, bytes that are no answer, or silence.
   Broken,
   /// The caller left or the time was over for other reasons.
-  Neither,
+  Inconclusive,
 };
 
 struct ReplicaTableSettings {
   /// What one open call weighs beside prompts, in milliseconds: it makes each
   /// step of the engine longer.
-  double CallWeight = 3;
+  double OpenCallWeight = 3;
   /// What a millisecond of reading weighs that a better choice would have
   /// spared: it makes the calls behind this one wait, too.
-  double ReadingWeight = 2;
+  double PrefillWeight = 2;
   /// Upstreams that cost so much more than the best, in milliseconds and as a
   /// share, are as good as it; the conversation's order decides between them.
-  double NearEqual = 12;
-  double NearEqualShare = 0.15;
+  double CostTolerance = 12;
+  double CostToleranceShare = 0.15;
   /// Sends looked back on to find an upstream that fails; the share of failures
   /// that exceeds the others' by this much makes it an outlier.
   double FailureMemory = 0.85;
@@ -170,30 +172,31 @@
   std::optional<ReplicaChoice> choose(const ReplicaRequest &request,
                                       Instant now);
 
-  void noteSent(const UpstreamId &id, const CallWork &work, Instant now);
+  void noteSent(const UpstreamId &id, const CallCost &work, Instant now);
   /// The prompt was sent there and will be cached.
   void notePrompt(const UpstreamId &id, const std::vector<PromptPart> &prompt,
                   Instant now);
   /// The first byte came: the prompt has been read.
-  void noteFirstByte(const UpstreamId &id, const CallWork &work);
+  void noteFirstByte(const UpstreamId &id, const CallCost &work);
   /// What the time to a first byte says of the upstream's speed.
-  void noteFirstToken(const UpstreamId &id, const FirstTokenSeen &seen,
+  void noteFirstToken(const UpstreamId &id, const FirstTokenSample &seen,
                       Instant now);
   /// What the service's engines do.
   const EngineModel &modelOf(const ServiceId &service) {
     return Models[service];
   }
   /// The send has ended; says whether its first byte had come.
-  void noteEnded(const UpstreamId &id, const CallWork &work, bool hadFirstByte,
+  void noteEnded(const UpstreamId &id, const CallCost &work, bool hadFirstByte,
                  SendResult result, Instant now);
   /// What a peer has open now at all upstreams; replaces what it said before.
-  void notePeer(const SourceId &peer, std::map<UpstreamId, OpenWork> open);
+  void notePeer(const SourceId &peer,
+                std::map<UpstreamId, OutstandingWork> open);
   void forgetPeer(const SourceId &peer);
 
   /// What this host has open, for its reports.
-  std::map<UpstreamId, OpenWork> ownWork() const;
+  std::map<UpstreamId, OutstandingWork> ownWork() const;
   /// What all hosts have open at the upstream.
-  OpenWork workAt(const UpstreamId &id) const;
+  OutstandingWork workAt(const UpstreamId &id) const;
   bool isEjected(const UpstreamId &id, Instant now) const;
   /// Open calls of all hosts at the service's ready upstreams, and their
   /// places.
@@ -201,7 +204,7 @@
     int Calls = 0;
     std::int64_t PromptTokens = 0;
     std::int64_t Tokens = 0;
-    int Places = 0;
+    int CallSlots = 0;
     int Replicas = 0;
   };
   ServiceWork serviceWork(const ServiceId &service, Instant now) const;
@@ -209,8 +212,8 @@
 private:
   struct Entry {
     ReplicaRecord Record;
-    OpenWork Own;
-    OpenWork Peers;
+    OutstandingWork Own;
+    OutstandingWork Peers;
     double FailureShare = 0;
     /// Sends that FailureShare looks back on, at most a few.
     double Seen = 0;
@@ -221,7 +224,7 @@
     Instant ColdUntil{};
     /// It counts as cold until a view that is younger than this confirms it.
     Instant DoubtedAt{};
-    ColdAllowance Allowance;
+    ColdRateLimiter Allowance;
     /// Of the cold rate, this host's; nothing until it is worked out.
     std::optional<int> ColdShare;
   };
@@ -231,7 +234,7 @@
     Entry *Place = nullptr;
     /// The conversation's order of upstreams, the same on all hosts.
     std::uint64_t Draw = 0;
-    double ToRead = 0;
+    double TokensToPrefill = 0;
     double Ahead = 0;
     double Wait = 0;
     double FirstToken = 0;
@@ -259,9 +262,9 @@
 
   ReplicaTableSettings Settings;
   std::map<UpstreamId, Entry> Entries;
-  std::map<SourceId, std::map<UpstreamId, OpenWork>> PeerWork;
+  std::map<SourceId, std::map<UpstreamId, OutstandingWork>> PeerWork;
   std::map<ServiceId, EngineModel> Models;
-  PromptCache Cached;
+  PromptCacheEstimate Cached;
   std::map<ServiceId, double> ColdRates;
   HostId Self;
   std::vector<HostId> Hosts;
--- a/Libraries/LibServing/MoveOrder.h
+++ b/Libraries/LibServing/RolloutOrder.h
@@ -8,17 +8,17 @@
 
 /// How far an ordered move of a service to a version is, as the operators'
 /// status says.
-enum class MoveOutcome { Unstarted, InProgress, Completed, RolledBack };
+enum class RolloutOutcome { Unstarted, InProgress, Completed, RolledBack };
 
 /// The operators' order to move a service's calls to replicas of a version.
-struct MoveOrder {
+struct RolloutOrder {
   ServiceId Service;
   VersionId Target;
   Duration Within{};
   /// What the status of the order says, for this target.
-  MoveOutcome Outcome = MoveOutcome::Unstarted;
+  RolloutOutcome Outcome = RolloutOutcome::Unstarted;
 
-  friend bool operator==(const MoveOrder &a, const MoveOrder &b) {
+  friend bool operator==(const RolloutOrder &a, const RolloutOrder &b) {
     return std::tie(a.Service, a.Target, a.Within, a.Outcome) ==
            std::tie(b.Service, b.Target, b.Within, b.Outcome);
   }
--- a/Libraries/LibServing/ServingCall.h
+++ b/Libraries/LibServing/ServingCall.h
@@ -24,30 +24,30 @@
   std::string Method;
   std::string Key;
   /// How long the caller waits, from when the request was read.
-  std::optional<Duration> Patience;
+  std::optional<Duration> WaitLimit;
   std::optional<std::int64_t> PromptTokens;
-  std::int64_t MostOutputTokens = 0;
+  std::int64_t MaxOutputTokens = 0;
   std::vector<PromptPart> Prompt;
   /// The last event that the caller has of a stream that it resumes.
   std::string LastEventId;
 };
 
 /// Where one try of a call goes and what is sent to the upstream with it.
-struct UpstreamTry {
+struct UpstreamAttempt {
   UpstreamId Replica;
   std::string Address;
-  Duration Patience{};
+  Duration WaitLimit{};
   TeamId Team;
   int Priority = 0;
   /// Set where a broken stream goes on.
   std::string ResumeAfter;
   /// The other end and the handle of moved memory, where the call goes on from
   /// it.
-  std::string MemoryFrom;
+  std::string KvCacheSource;
 };
 
 /// What the head of an upstream's answer says besides status and body.
-struct UpstreamVerdict {
+struct UpstreamReplyInfo {
   /// The attempt that it answers; empty if it names none.
   std::string Id;
   /// The upstream says that it did not run the call.
--- a/Libraries/LibServing/ServingPlan.cpp
+++ b/Libraries/LibServing/ServingPlan.cpp
@@ -60,13 +60,13 @@
 const WeightedService *chooseService(const ServingRoute &route,
                                      double fraction) {
   double total = 0;
-  for (const WeightedService &it : route.Split)
+  for (const WeightedService &it : route.ServiceWeights)
     total += it.Weight;
   if (total <= 0)
     return nullptr;
   double left = fraction * total;
   const WeightedService *last = nullptr;
-  for (const WeightedService &it : route.Split) {
+  for (const WeightedService &it : route.ServiceWeights) {
     if (it.Weight <= 0)
       continue;
     last = &it;
--- a/Libraries/LibServing/ServingPlan.h
+++ b/Libraries/LibServing/ServingPlan.h
@@ -17,7 +17,7 @@
   /// May run more than once.
   Idempotent,
   /// Runs at most once for each attempt of a caller.
-  OnceOnly,
+  NonIdempotent,
 };
 
 /// A service and its part of a route's calls. Weights are relative.
@@ -37,7 +37,7 @@
   std::string HostName;
   /// Begins and ends with a slash.
   std::string PathPrefix;
-  Repeatability Kind = Repeatability::OnceOnly;
+  Repeatability Kind = Repeatability::NonIdempotent;
   /// The answer is a stream of events.
   bool IsStream = false;
   /// A stream that broke off may go on at another upstream.
@@ -49,14 +49,14 @@
   /// A first byte after this is late.
   Duration LatencyTarget{};
   /// A longer pause between a stream's events makes it late.
-  Duration LongestPause{};
+  Duration MaxEventGap{};
   /// 0 goes first.
   int Priority = 0;
   /// Upstreams that one attempt of a caller may be sent to.
   int MaxAttempts = 1;
-  std::vector<WeightedService> Split;
+  std::vector<WeightedService> ServiceWeights;
   /// Regions whose upstreams may run its calls; empty for all.
-  std::vector<std::string> Homes;
+  std::vector<std::string> PermittedRegions;
 };
 
 /// What a service's engines are like.
@@ -67,18 +67,18 @@
   std::int64_t MemoryTokens = 0;
   // FIXME: Moves of memory at a reclaim.
   /// A running answer's memory can be moved to another engine.
-  bool CanMove = false;
+  bool CanMigrateKvCache = false;
   /// How long a moved memory is kept for its call.
-  Duration HandleLifetime{};
+  Duration KvCacheHandleTtl{};
 };
 
 /// How many replicas of a service may be ordered, and what they cost.
 struct ScalingBounds {
   /// In each zone, of both kinds together.
-  int Least = 0;
-  int Most = 0;
+  int MinReplicas = 0;
+  int MaxReplicas = 0;
   /// From the order until a replica serves.
-  Duration BootTime{};
+  Duration StartupTime{};
   /// What a reclaimable replica costs, as a share of an on-demand one.
   double ReclaimablePrice = 1;
   std::map<ZoneId, double> ZonePrices;
@@ -103,14 +103,14 @@
   std::optional<int> Priority;
   bool CountsTokens = false;
   /// What a call counts that doesn't say how many tokens it has.
-  std::int64_t PlainTokens = 1;
+  std::int64_t FallbackTokens = 1;
   /// Units a second over all hosts; 0 for no limit.
   std::int64_t Rate = 0;
   /// Units that may be used at once besides.
   std::int64_t Burst = 0;
   /// Regions whose upstreams may run its calls; empty for all. Where a route
   /// has homes, too, both bind.
-  std::vector<std::string> Homes;
+  std::vector<std::string> PermittedRegions;
 };
 
 /// What callers may send.
--- a/Libraries/LibServing/StopPolicy.cpp
+++ b/Libraries/LibServing/StopPolicy.cpp
@@ -10,10 +10,11 @@
   return fromSeconds(toSeconds(grace) * MarginShare);
 }
 
-bool takesWhileStopping(Duration sinceStop, Duration grace, Duration patience) {
+bool acceptsCallWhileStopping(Duration sinceStop, Duration grace,
+                              Duration waitLimit) {
   if (toSeconds(sinceStop) < toSeconds(grace) * OpenShare)
     return true;
-  return sinceStop + patience < grace - stopMargin(grace);
+  return sinceStop + waitLimit < grace - stopMargin(grace);
 }
 
 } // namespace sorrelbay
--- a/Libraries/LibServing/StopPolicy.h
+++ b/Libraries/LibServing/StopPolicy.h
@@ -9,7 +9,8 @@
 /// refusal would cost them a round; later only those that are sure to end
 /// before the process does. A long answer that is taken late is cut when the
 /// grace is over, and its caller has half a quote.
-bool takesWhileStopping(Duration sinceStop, Duration grace, Duration patience);
+bool acceptsCallWhileStopping(Duration sinceStop, Duration grace,
+                              Duration waitLimit);
 
 /// What a stopping host leaves of its grace for its own end.
 Duration stopMargin(Duration grace);
--- a/Libraries/LibServing/StoreReach.cpp
+++ b/Libraries/LibServing/StoreReachability.cpp
@@ -1,4 +1,4 @@
-#include "LibServing/StoreReach.h"
+#include "LibServing/StoreReachability.h"
 
 namespace sorrelbay {
 
@@ -6,14 +6,14 @@
 /// nothing is lost by this wait.
 static constexpr Duration CutOffAfter = seconds(1);
 
-void StoreReach::note(bool isReached, Instant now) {
+void StoreReachability::note(bool isReached, Instant now) {
   if (isReached)
     Since.reset();
   else if (!Since)
     Since = now;
 }
 
-bool StoreReach::isCutOff(Instant now) const {
+bool StoreReachability::isStoreUnreachable(Instant now) const {
   return Since && now - *Since >= CutOffAfter;
 }
 
--- a/Libraries/LibServing/StoreReach.h
+++ b/Libraries/LibServing/StoreReachability.h
@@ -7,7 +7,7 @@
 
 /// Whether this host reaches the store, by how its calls ended. Not
 /// thread-safe.
-class StoreReach {
+class StoreReachability {
 public:
   /// A call reached the store and came back, or it did not.
   void note(bool isReached, Instant now);
@@ -17,7 +17,7 @@
   /// is away for a moment, all hosts that ask it fail at the same time; if each
   /// of them said at once that it is cut off, all that aggregate for others
   /// would change at that moment.
-  bool isCutOff(Instant now) const;
+  bool isStoreUnreachable(Instant now) const;
 
 private:
   std::optional<Instant> Since;
--- a/Libraries/LibServing/TeamMeter.cpp
+++ b/Libraries/LibServing/TeamRateLimiter.cpp
@@ -1,4 +1,4 @@
-#include "LibServing/TeamMeter.h"
+#include "LibServing/TeamRateLimiter.h"
 #include <algorithm>
 #include <cmath>
 #include <vector>
@@ -52,7 +52,7 @@
 static constexpr Duration LongestGap = seconds(5);
 
 /// Another process tells from now on.
-void TeamMeter::begin(Peer &peer, const PeerUse &use, Instant now) {
+void TeamRateLimiter::begin(Peer &peer, const PeerUsage &use, Instant now) {
   const bool isFirst = peer.Incarnation.empty();
   peer.Incarnation = use.Incarnation;
   if (use.IsSum && !isFirst) {
@@ -83,8 +83,8 @@
     Level = std::min(Level, *use.Level);
 }
 
-void TeamMeter::notePeer(const SourceId &peer, const PeerUse &use,
-                         Instant now) {
+void TeamRateLimiter::notePeer(const SourceId &peer, const PeerUsage &use,
+                               Instant now) {
   if (FilledAt == Instant{})
     FilledAt = FirstAt = now;
   Peer &it = Peers[peer];
@@ -102,7 +102,8 @@
 
 /// A sum's pace is taken at once: it stands for many hosts, and each report
 /// that it lags behind lets all of them go on for as long.
-void TeamMeter::learnPace(Peer &peer, double fresh, bool isSum, Instant now) {
+void TeamRateLimiter::learnPace(Peer &peer, double fresh, bool isSum,
+                                Instant now) {
   if (now - peer.ReportedAt > Silence)
     peer.CaughtUpAt = now + CatchUp;
   peer.Unpaced += std::max(0.0, fresh);
@@ -119,24 +120,24 @@
 
 /// What a level can be at the least and at the most. A figure beyond it comes
 /// from a mistake, and told to peers it would turn the team away everywhere.
-double TeamMeter::inRange(double level) const {
+double TeamRateLimiter::inRange(double level) const {
   const double least = -toSeconds(LongestDebt) * static_cast<double>(Rate) -
                        static_cast<double>(Burst);
   return std::clamp(level, least, static_cast<double>(Burst));
 }
 
-void TeamMeter::keepInRange() {
+void TeamRateLimiter::keepInRange() {
   if (IsFilled && Rate > 0)
     Level = inRange(Level);
 }
 
-void TeamMeter::forgetPeer(const SourceId &peer) {
+void TeamRateLimiter::forgetPeer(const SourceId &peer) {
   const auto it = Peers.find(peer);
   if (it != Peers.end())
     it->second.Pace = 0;
 }
 
-void TeamMeter::agree(Instant now) {
+void TeamRateLimiter::agree(Instant now) {
   if (!IsFilled || Rate <= 0)
     return;
   fill(Rate, Burst, now);
@@ -152,7 +153,7 @@
   Level += part * (*middle - Level);
 }
 
-void TeamMeter::fill(std::int64_t rate, std::int64_t burst, Instant now) {
+void TeamRateLimiter::fill(std::int64_t rate, std::int64_t burst, Instant now) {
   const auto most = static_cast<double>(burst);
   if (!IsFilled) {
     // Peers may have been letting calls in for long before the first one comes
@@ -195,7 +196,7 @@
 /// asks for several times its allotment would overdraw it by as much again
 /// before the first report. So after the bucket was empty only a part is let
 /// in, which shrinks while it is empty and grows slowly while it isn't.
-void TeamMeter::pace(std::int64_t rate, Instant now) {
+void TeamRateLimiter::pace(std::int64_t rate, Instant now) {
   const Duration span = std::min(now - PacedAt, LongestPaceStep);
   PacedAt = now;
   const double steps = toSeconds(span) / toSeconds(PaceStep);
@@ -209,7 +210,7 @@
 }
 
 /// Spreads the part evenly over calls.
-bool TeamMeter::isThinnedIn() {
+bool TeamRateLimiter::isThinnedIn() {
   Credit += Part;
   if (Credit < 1)
     return false;
@@ -217,8 +218,8 @@
   return true;
 }
 
-bool TeamMeter::take(std::int64_t units, std::int64_t rate, std::int64_t burst,
-                     Instant now) {
+bool TeamRateLimiter::take(std::int64_t units, std::int64_t rate,
+                           std::int64_t burst, Instant now) {
   if (rate <= 0) {
     OwnUsed += units;
     return true;
@@ -238,12 +239,12 @@
   return true;
 }
 
-void TeamMeter::giveBack(std::int64_t units) {
+void TeamRateLimiter::giveBack(std::int64_t units) {
   Level += static_cast<double>(units);
   OwnUsed -= units;
 }
 
-Duration TeamMeter::wait(std::int64_t rate) const {
+Duration TeamRateLimiter::wait(std::int64_t rate) const {
   if (Level > 0 || rate <= 0)
     return Duration::zero();
   return fromSeconds(-Level / static_cast<double>(rate));
--- a/Libraries/LibServing/TeamMeter.h
+++ b/Libraries/LibServing/TeamRateLimiter.h
@@ -13,7 +13,7 @@
 using UsedUnits = std::int64_t;
 
 /// What a peer's report says of one team.
-struct PeerUse {
+struct PeerUsage {
   /// The process that counts; a new one begins at zero.
   IncarnationId Incarnation;
   UsedUnits Used = 0;
@@ -35,13 +35,13 @@
 /// lets in and by what its peers report. Between two reports a peer is taken to
 /// go on at its last pace, so that hosts which hear of each other a fraction of
 /// a second late don't all hand out the same units.
-class TeamMeter {
+class TeamRateLimiter {
 public:
   /// What a peer's reports add up to. A host that has just started takes the
   /// level of the bucket from peers that were there before it: charged with
   /// all that they let in since they began, it would refuse the team's calls
   /// for as long as that takes to come in again.
-  void notePeer(const SourceId &peer, const PeerUse &use, Instant now);
+  void notePeer(const SourceId &peer, const PeerUsage &use, Instant now);
   /// The peer is gone; its pace is no longer counted.
   void forgetPeer(const SourceId &peer);
   /// Another source tells from now on what this one told; when it is heard
@@ -67,7 +67,7 @@
   /// Units in the bucket when it was last asked; below zero after a large call.
   double level() const { return Level; }
   /// The same for peers that start; nothing before the first call.
-  std::optional<double> knownLevel() const {
+  std::optional<double> settledLevel() const {
     return IsFilled ? std::optional(Level) : std::nullopt;
   }
   /// What this host has let in, for its reports.
@@ -92,7 +92,7 @@
     std::optional<double> Level;
   };
 
-  void begin(Peer &peer, const PeerUse &use, Instant now);
+  void begin(Peer &peer, const PeerUsage &use, Instant now);
   static void learnPace(Peer &peer, double fresh, bool isSum, Instant now);
   double inRange(double level) const;
   void keepInRange();
--- a/Libraries/LibServing/UsedSum.cpp
+++ b/Libraries/LibServing/UsageAggregator.cpp
@@ -1,4 +1,4 @@
-#include "LibServing/UsedSum.h"
+#include "LibServing/UsageAggregator.h"
 #include <algorithm>
 
 namespace sorrelbay {
@@ -11,7 +11,8 @@
 static constexpr Duration LongestGap = seconds(5);
 
 /// Another process tells from now on.
-void UsedSum::begin(Known &known, const ReportedUse &told, Instant now) {
+void UsageAggregator::begin(Known &known, const ReportedUsage &told,
+                            Instant now) {
   const bool isFirst = known.Incarnation.empty();
   known.Incarnation = told.Incarnation;
   if (told.From == CountFrom::Known)
@@ -27,8 +28,8 @@
     known.Used[team] -= static_cast<UsedUnits>(pace * gap);
 }
 
-void UsedSum::note(const SourceId &source, const ReportedUse &told,
-                   Instant now) {
+void UsageAggregator::note(const SourceId &source, const ReportedUsage &told,
+                           Instant now) {
   Known &known = Sources[source];
   const bool isFirst = known.Incarnation.empty();
   if (known.Incarnation != told.Incarnation)
@@ -50,7 +51,7 @@
   sample(now);
 }
 
-void UsedSum::sample(Instant now) {
+void UsageAggregator::sample(Instant now) {
   if (!Samples.empty() && now - Samples.back().At < SampleGap)
     return;
   Samples.push_back({now, Grown});
@@ -58,7 +59,7 @@
     Samples.pop_front();
 }
 
-std::map<TeamId, double> UsedSum::pace(Instant now) const {
+std::map<TeamId, double> UsageAggregator::pace(Instant now) const {
   std::map<TeamId, double> out;
   if (Samples.empty() || now - Samples.front().At < PaceSpan)
     return out;
--- a/Libraries/LibServing/UsedSum.h
+++ b/Libraries/LibServing/UsageAggregator.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "LibBase/Identifier.h"
-#include "LibServing/TeamMeter.h"
+#include "LibServing/TeamRateLimiter.h"
 #include <deque>
 #include <map>
 
@@ -21,7 +21,7 @@
 };
 
 /// What a source tells.
-struct ReportedUse {
+struct ReportedUsage {
   IncarnationId Incarnation;
   std::map<TeamId, UsedUnits> Used;
   /// Units a second of late, where the reporter knows them.
@@ -32,10 +32,10 @@
 /// Adds up what several sources let in, as one counter that only grows: a
 /// source that goes, or begins anew, must not make the sum fall, because those
 /// who hear the sum charge the teams with its growth.
-class UsedSum {
+class UsageAggregator {
 public:
   /// A source has reported its counters.
-  void note(const SourceId &source, const ReportedUse &told, Instant now);
+  void note(const SourceId &source, const ReportedUsage &told, Instant now);
   const std::map<TeamId, UsedUnits> &total() const { return Total; }
   /// How fast the sum grew in the last second or so, in units a second; empty
   /// before it was seen for that long.
@@ -52,7 +52,7 @@
     std::map<TeamId, UsedUnits> Grown;
   };
 
-  static void begin(Known &known, const ReportedUse &told, Instant now);
+  static void begin(Known &known, const ReportedUsage &told, Instant now);
   void sample(Instant now);
 
   std::map<SourceId, Known> Sources;
--- a/Libraries/LibServing/UsageCounts.cpp
+++ b/Libraries/LibServing/UsageCounts.cpp
@@ -3,13 +3,13 @@
 
 namespace sorrelbay {
 
-std::optional<WindowNumber> mostUrgent(const std::vector<WindowNumber> &windows,
-                                       Duration window, Duration dueAfterEnd,
-                                       Instant trueNow) {
+std::optional<WindowNumber>
+mostUrgentWindow(const std::vector<WindowNumber> &windows, Duration window,
+                 Duration dueAfterEnd, Instant fleetNow) {
   std::optional<WindowNumber> next;
   bool isNextOverdue = false;
   for (const WindowNumber it : windows) {
-    const bool isOverdue = Instant((it + 1) * window) + dueAfterEnd <= trueNow;
+    const bool isOverdue = Instant((it + 1) * window) + dueAfterEnd <= fleetNow;
     const bool isSooner =
         !next || (isNextOverdue != isOverdue ? isNextOverdue : it < *next);
     if (!isSooner)
@@ -30,16 +30,16 @@
     sum[team] += count;
 }
 
-WindowNumber UsageCounts::windowAt(Instant trueTime) const {
-  return trueTime.time_since_epoch() / Window;
+WindowNumber UsageCounts::windowAt(Instant fleetTime) const {
+  return fleetTime.time_since_epoch() / Window;
 }
 
 Instant UsageCounts::endOf(WindowNumber window) const {
   return Instant((window + 1) * Window);
 }
 
-void UsageCounts::noteBegun(const TeamId &team, Instant trueTime) {
-  ++Windows[windowAt(trueTime)].Hosts[Zone][Self][team];
+void UsageCounts::noteCallStarted(const TeamId &team, Instant fleetTime) {
+  ++Windows[windowAt(fleetTime)].Hosts[Zone][Self][team];
 }
 
 void UsageCounts::noteHost(const ZoneId &zone, const IncarnationId &incarnation,
@@ -61,11 +61,11 @@
 }
 
 std::map<WindowNumber, UsageCounts::Counted>
-UsageCounts::knownFrom(WindowNumber window) const {
+UsageCounts::snapshotFrom(WindowNumber window) const {
   return {Windows.lower_bound(window), Windows.end()};
 }
 
-void UsageCounts::noteKnown(WindowNumber window, const Counted &known) {
+void UsageCounts::mergeSnapshot(WindowNumber window, const Counted &known) {
   for (const auto &[zone, hosts] : known.Hosts)
     for (const auto &[incarnation, counts] : hosts)
       noteHost(zone, incarnation, window, counts);
--- a/Libraries/LibServing/UsageCounts.h
+++ b/Libraries/LibServing/UsageCounts.h
@@ -25,7 +25,7 @@
       : Self(std::move(self)), Zone(std::move(zone)), Window(window) {}
 
   /// A call began to run at that time, true time since 1970.
-  void noteBegun(const TeamId &team, Instant trueTime);
+  void noteCallStarted(const TeamId &team, Instant fleetTime);
   /// A process of that zone has reported its counts of a window.
   void noteHost(const ZoneId &zone, const IncarnationId &incarnation,
                 WindowNumber window, const TeamCounts &counts);
@@ -38,7 +38,7 @@
   /// Drops windows before that one.
   void forgetBefore(WindowNumber window);
 
-  WindowNumber windowAt(Instant trueTime) const;
+  WindowNumber windowAt(Instant fleetTime) const;
   Instant endOf(WindowNumber window) const;
   /// The sum over all processes.
   TeamCounts sum(WindowNumber window) const;
@@ -58,10 +58,10 @@
   };
   /// What is known of the windows from that one on, for those that come after
   /// this process.
-  std::map<WindowNumber, Counted> knownFrom(WindowNumber window) const;
+  std::map<WindowNumber, Counted> snapshotFrom(WindowNumber window) const;
   /// Takes over what another process knew; what is known already stays where it
   /// is more. Sums over other zones are its own and not taken.
-  void noteKnown(WindowNumber window, const Counted &known);
+  void mergeSnapshot(WindowNumber window, const Counted &known);
 
 private:
   TeamCounts ownZoneOf(const Counted &counted) const;
@@ -77,8 +77,8 @@
 /// time is over already come last, since nothing is lost by their waiting.
 /// Nothing if there is none. The window and the due time are spans; the time is
 /// true time since 1970.
-std::optional<WindowNumber> mostUrgent(const std::vector<WindowNumber> &windows,
-                                       Duration window, Duration dueAfterEnd,
-                                       Instant trueNow);
+std::optional<WindowNumber>
+mostUrgentWindow(const std::vector<WindowNumber> &windows, Duration window,
+                 Duration dueAfterEnd, Instant fleetNow);
 
 } // namespace sorrelbay
--- a/Tests/LibServing/FleetWorld.cpp
+++ b/Tests/LibServing/FleetSimulation.cpp
@@ -1,4 +1,4 @@
-#include "FleetWorld.h"
+#include "FleetSimulation.h"
 #include "LibServing/Allotment.h"
 #include <algorithm>
 #include <numeric>
@@ -23,16 +23,16 @@
 constexpr std::int64_t MostUnits = 1500;
 constexpr Duration AllotmentWindow = seconds(8);
 constexpr double Overshoot = 1.1;
-constexpr double RepeatShare = 0.2;
-constexpr std::int64_t RepeatSlack = 54;
-constexpr Duration RepeatWindow = seconds(10);
+constexpr double RetryShare = 0.2;
+constexpr std::int64_t RetrySlack = 54;
+constexpr Duration RetryWindow = seconds(10);
 constexpr Duration LeaseBound = seconds(3);
 constexpr Duration UsageWindow = seconds(5);
 constexpr double UsageOff = 0.05;
 
 } // namespace
 
-FleetWorld::FleetWorld(const FleetPlan &plan)
+FleetSimulation::FleetSimulation(const FleetPlan &plan)
     : Plan(plan), Random(plan.Seed), Now(Start) {
   for (int n = 0; n < Plan.Hosts; ++n) {
     Host host;
@@ -48,24 +48,24 @@
     boot(it);
 }
 
-double FleetWorld::draw() {
+double FleetSimulation::draw() {
   return std::uniform_real_distribution<double>(0, 1)(Random);
 }
 
-std::size_t FleetWorld::drawHost() {
+std::size_t FleetSimulation::drawHost() {
   return static_cast<std::size_t>(draw() * static_cast<double>(Hosts.size()));
 }
 
-void FleetWorld::fail(const std::string &rule) {
+void FleetSimulation::fail(const std::string &rule) {
   if (Broken.empty())
     Broken =
         rule + " at " + std::to_string(toMilliseconds(Now - Start)) + " ms";
 }
 
 /// A new process: it knows nothing of before.
-void FleetWorld::boot(Host &host) {
+void FleetSimulation::boot(Host &host) {
   host.IsDown = false;
-  host.BornAt = Now;
+  host.ProcessStartedAt = Now;
   host.Sequence = 0;
   host.Incarnation =
       IncarnationId(host.Member.Host.text() + "/" + std::to_string(Random()));
@@ -74,36 +74,36 @@
   host.View->noteRegistered(Registered);
   host.Replicas = std::make_unique<ReplicaTable>();
   host.Demand = std::make_unique<EngineDemand>();
-  host.Meters.clear();
+  host.RateLimiters.clear();
   host.Usage = std::make_unique<UsageCounts>(host.Incarnation, host.Member.Zone,
                                              UsageWindow);
-  host.Time = std::make_unique<TrueTime>(Now, Now);
-  host.Counting = std::make_unique<FleetCounting>(
+  host.Time = std::make_unique<FleetClock>(Now, Now);
+  host.ReportMerger = std::make_unique<FleetReportMerger>(
       *host.View,
-      FleetTables{*host.Replicas, *host.Demand, host.Meters, *host.Usage,
+      FleetTables{*host.Replicas, *host.Demand, host.RateLimiters, *host.Usage,
                   *host.Time},
       Now);
   host.Repeats.reset();
-  MoverLeaseSettings lease;
+  LeaderLeaseSettings lease;
   lease.Term = LeaseBound + seconds(1);
   lease.OrderTimeout = Duration::zero();
   if (Plan.Without == FleetOmission::LeaseEnd)
     lease.Margin = -10;
-  host.Lease = std::make_unique<MoverLease>(host.Incarnation, lease);
+  host.Lease = std::make_unique<LeaderLease>(host.Incarnation, lease);
   host.WasHeld = false;
-  host.Reach = StoreReach();
+  host.Reach = StoreReachability();
 }
 
-bool FleetWorld::works(const Host &host) const {
+bool FleetSimulation::works(const Host &host) const {
   return !host.IsDown && Now >= host.FrozenUntil;
 }
 
-bool FleetWorld::reaches(const Host &from, const Host &to) const {
+bool FleetSimulation::reaches(const Host &from, const Host &to) const {
   return Now >= from.CutFromPeersUntil && Now >= to.CutFromPeersUntil;
 }
 
 /// Something goes wrong, about once in two seconds.
-void FleetWorld::strike() {
+void FleetSimulation::strike() {
   if (!Plan.HasFaults || draw() > toSeconds(Tick) / 2)
     return;
   Host &host = Hosts[drawHost()];
@@ -126,7 +126,7 @@
 
 /// Callers begin to press, the store is away, and sometimes many hosts are
 /// killed at the same time.
-void FleetWorld::brew() {
+void FleetSimulation::brew() {
   if (!Plan.HasStorms || draw() > toSeconds(Tick) / 12 || Now < PressUntil)
     return;
   ++Faults;
@@ -141,13 +141,13 @@
   }
 }
 
-double FleetWorld::demand() const {
+double FleetSimulation::demand() const {
   if (!Plan.HasStorms)
     return SteadyDemand * Rate;
   return (Now < PressUntil ? PressingDemand : CalmDemand) * Rate;
 }
 
-void FleetWorld::askStore(Host &host) {
+void FleetSimulation::askStore(Host &host) {
   const bool asks =
       host.Reach.isUnreached() || host.View->aggregates(host.Member, Now);
   if (asks)
@@ -155,8 +155,8 @@
                     Now);
 }
 
-void FleetWorld::post(std::size_t from, const std::vector<HostId> &to,
-                      const FleetReport &report) {
+void FleetSimulation::post(std::size_t from, const std::vector<HostId> &to,
+                           const FleetReport &report) {
   for (const HostId &it : to) {
     const auto found =
         std::find_if(Hosts.begin(), Hosts.end(),
@@ -169,39 +169,40 @@
   }
 }
 
-void FleetWorld::tell(Host &host) {
+void FleetSimulation::tell(Host &host) {
   const auto index = static_cast<std::size_t>(&host - Hosts.data());
   askStore(host);
-  host.Member.IsCutOff = host.Reach.isCutOff(Now);
+  host.Member.IsStoreUnreachable = host.Reach.isStoreUnreachable(Now);
   host.Member.HoldsDuties = host.Lease->isHeld(Now);
   host.Member.LeaseRevision =
       host.Member.HoldsDuties ? host.Lease->fencing() : 0;
-  host.View->forgetSilent(Now);
-  host.Counting->recount(host.Member, Now);
-  host.Counting->agree(Now);
+  host.View->removeSilent(Now);
+  host.ReportMerger->recount(host.Member, Now);
+  host.ReportMerger->agree(Now);
   FleetReport own;
   own.Reporter = host.Member.Host;
   own.Zone = host.Member.Zone;
   own.Incarnation = host.Incarnation;
   own.Sequence = ++host.Sequence;
-  own.Uptime = Now - host.BornAt;
-  own.TrueTimeMs = toEpochMilliseconds(Now);
+  own.Uptime = Now - host.ProcessStartedAt;
+  own.FleetTimeMs = toEpochMilliseconds(Now);
   own.Members = {host.Member};
-  host.Counting->fillOwn(own, Now);
+  host.ReportMerger->fillOwnReport(own, Now);
   host.View->noteOwn(own, Now);
   post(index, host.View->reportPeers(host.Member, Now), own);
-  if (!host.View->isZoned() || !host.View->aggregates(host.Member, Now))
+  if (!host.View->isAggregatedByZone() ||
+      !host.View->aggregates(host.Member, Now))
     return;
   FleetReport zone = host.View->zoneReport(own, Now);
   FleetReport others = host.View->othersReport(own, Now);
-  host.Counting->fillUsage(zone);
-  host.Counting->fillUsage(others);
+  host.ReportMerger->fillUsage(zone);
+  host.ReportMerger->fillUsage(others);
   post(index, host.View->otherAggregators(Now), zone);
   post(index, host.View->groupPeers(), others);
   post(index, host.View->groupPeers(), host.View->ownZoneReport(zone));
 }
 
-void FleetWorld::deliver() {
+void FleetSimulation::deliver() {
   std::vector<Message> due;
   const auto isDue = [&](const Message &it) {
     return it.At <= Now && Now >= Hosts[it.To].FrozenUntil;
@@ -217,13 +218,13 @@
     FleetReport report = it.Report;
     if (Plan.Without == FleetOmission::PeersUse)
       report.Used.clear();
-    if (!host.IsDown && host.View->hear(report, Now))
-      host.Counting->take(report, host.Member, Now);
+    if (!host.IsDown && host.View->receive(report, Now))
+      host.ReportMerger->take(report, host.Member, Now);
   }
 }
 
 /// One caller: its units, and a repeat if its first send fails.
-void FleetWorld::call() {
+void FleetSimulation::call() {
   Host &host = Hosts[drawHost()];
   if (!works(host))
     return;
@@ -232,21 +233,21 @@
   ServingTeam team;
   team.Rate = Rate;
   team.Burst = Burst;
-  const Allotment most =
-      allotmentFor(team, host.View->isZoned(), {Slack, AllotmentWindow});
-  if (!host.Meters[Team].take(units, most.Rate, most.Burst, Now))
+  const Allotment most = allotmentFor(team, host.View->isAggregatedByZone(),
+                                      {Slack, AllotmentWindow});
+  if (!host.RateLimiters[Team].take(units, most.Rate, most.Burst, Now))
     return;
   ++Calls;
   LetIn.emplace_back(Now, units);
   Called.push_back(Now);
-  host.Usage->noteBegun(Team, Now);
+  host.Usage->noteCallStarted(Team, Now);
   ++Begun[host.Usage->windowAt(Now)];
-  const RepeatPart part =
-      repeatPart(RepeatShare, RepeatSlack, host.View->hostCount());
+  const RetryBudgetShare part =
+      retryBudgetShare(RetryShare, RetrySlack, host.View->hostCount());
   if (!host.Repeats)
     host.Repeats =
-        std::make_unique<RetryBudget>(part.Share, part.MostSaved, part.Begin);
-  host.Repeats->limitSaved(part.MostSaved);
+        std::make_unique<RetryBudget>(part.Share, part.MaxBalance, part.Begin);
+  host.Repeats->setMaxBalance(part.MaxBalance);
   host.Repeats->noteCall();
   const bool mayRepeat = Plan.Without == FleetOmission::Budget ||
                          host.Repeats->takeRetry(RetryLayer::EntryHost);
@@ -255,10 +256,10 @@
 }
 
 /// The store keeps the lease; a reply may be lost after the write was done.
-void FleetWorld::stepLease(Host &host) {
-  for (const HeardMember &it : host.View->members())
+void FleetSimulation::stepLease(Host &host) {
+  for (const KnownMember &it : host.View->members())
     if (it.Member.LeaseRevision != 0)
-      host.Lease->noteTold(
+      host.Lease->noteReported(
           {IncarnationId(it.Member.Host.text()), it.Member.LeaseRevision}, Now);
   const bool isHeld = host.Lease->isHeld(Now);
   const bool mayStandBy = !host.View->holdsDuties(Now) &&
@@ -290,7 +291,7 @@
 }
 
 /// A holder exercises its duty.
-void FleetWorld::act(Host &host) {
+void FleetSimulation::act(Host &host) {
   const bool isHeld = host.Lease->isHeld(Now);
   Holders += isHeld && !host.WasHeld ? 1 : 0;
   host.WasHeld = isHeld;
@@ -308,7 +309,7 @@
   Acts.emplace_back(Now, self);
 }
 
-void FleetWorld::checkWindows() {
+void FleetSimulation::checkWindows() {
   while (!LetIn.empty() && Now - LetIn.front().first > AllotmentWindow)
     LetIn.pop_front();
   std::int64_t units = 0;
@@ -322,20 +323,20 @@
   if (static_cast<double>(units) >
       allowed * Overshoot + static_cast<double>(slack))
     fail("QUOTA: " + std::to_string(units) + " units in a window");
-  while (!Called.empty() && Now - Called.front() > RepeatWindow * 2)
+  while (!Called.empty() && Now - Called.front() > RetryWindow * 2)
     Called.pop_front();
-  while (!Repeated.empty() && Now - Repeated.front() > RepeatWindow)
+  while (!Repeated.empty() && Now - Repeated.front() > RetryWindow)
     Repeated.pop_front();
   // Calls count in the window, the one before or between; a half is the least
   // that the best of them can hold.
   const double calls = static_cast<double>(Called.size()) / 2;
   if (static_cast<double>(Repeated.size()) >
-      RepeatShare * calls + static_cast<double>(RepeatSlack))
+      RetryShare * calls + static_cast<double>(RetrySlack))
     fail("BUDGET: " + std::to_string(Repeated.size()) + " repeats");
 }
 
 /// What a live host knows of a window whose reports have settled.
-void FleetWorld::checkUsage() {
+void FleetSimulation::checkUsage() {
   const WindowNumber window = Hosts[0].Usage->windowAt(Now) - 1;
   const auto truth = Begun.find(window);
   const Instant end = Hosts[0].Usage->endOf(window);
@@ -349,13 +350,13 @@
     const auto known = static_cast<double>(it.Usage->sum(window)[Team]);
     if (known > begun)
       fail("usage: a team is billed for calls that it did not make");
-    if (isCalm && it.BornAt < end - UsageWindow * 2 &&
+    if (isCalm && it.ProcessStartedAt < end - UsageWindow * 2 &&
         known < begun * (1 - UsageOff))
       fail("usage: calls are missing");
   }
 }
 
-std::string FleetWorld::play(int length) {
+std::string FleetSimulation::play(int length) {
   const Instant end = Start + seconds(length);
   Instant reportedAt = Now;
   for (; Now < end && Broken.empty(); Now += Tick) {
--- a/Tests/LibServing/FleetWorld.h
+++ b/Tests/LibServing/FleetSimulation.h
@@ -1,10 +1,10 @@
 #pragma once
 
-#include "LibDecision/MoverLease.h"
+#include "LibDecision/LeaderLease.h"
 #include "LibDecision/RetryBudget.h"
-#include "LibServing/FleetCounting.h"
-#include "LibServing/RepeatPart.h"
-#include "LibServing/StoreReach.h"
+#include "LibServing/FleetReportMerger.h"
+#include "LibServing/RetryBudgetShare.h"
+#include "LibServing/StoreReachability.h"
 #include <cstdint>
 #include <deque>
 #include <map>
@@ -46,9 +46,9 @@
 /// the decisions are the daemon's, the rest is played. Callers of one team ask
 /// for several times its allotment, calls fail and want to be repeated, and
 /// hosts race for one lease. What all hosts did together is checked.
-class FleetWorld {
+class FleetSimulation {
 public:
-  explicit FleetWorld(const FleetPlan &plan);
+  explicit FleetSimulation(const FleetPlan &plan);
 
   /// Plays so many seconds and returns the first broken rule; empty if none is.
   std::string play(int seconds);
@@ -64,7 +64,7 @@
   struct Host {
     FleetMember Member;
     IncarnationId Incarnation;
-    Instant BornAt{};
+    Instant ProcessStartedAt{};
     bool IsDown = false;
     Instant BackAt{};
     /// Frozen until then: it neither works nor hears.
@@ -75,14 +75,14 @@
     std::unique_ptr<FleetView> View;
     std::unique_ptr<ReplicaTable> Replicas;
     std::unique_ptr<EngineDemand> Demand;
-    std::map<TeamId, TeamMeter> Meters;
+    std::map<TeamId, TeamRateLimiter> RateLimiters;
     std::unique_ptr<UsageCounts> Usage;
-    std::unique_ptr<TrueTime> Time;
-    std::unique_ptr<FleetCounting> Counting;
+    std::unique_ptr<FleetClock> Time;
+    std::unique_ptr<FleetReportMerger> ReportMerger;
     std::unique_ptr<RetryBudget> Repeats;
-    std::unique_ptr<MoverLease> Lease;
+    std::unique_ptr<LeaderLease> Lease;
     bool WasHeld = false;
-    StoreReach Reach;
+    StoreReachability Reach;
   };
   struct Message {
     Instant At{};
--- a/Tests/LibServing/TestColdShare.cpp
+++ b/Tests/LibServing/TestColdShare.cpp
@@ -54,7 +54,7 @@
         heard.push_back(it);
     shares[self] = shareOf(self, heard);
   }
-  std::map<HostId, ColdAllowance> allowances;
+  std::map<HostId, ColdRateLimiter> allowances;
   std::vector<Instant> out;
   const Instant begin{seconds(1000)};
   for (Instant now = begin; now < begin + Played; now += Step)
@@ -90,7 +90,7 @@
                      boost::unit_test::data::make(Fleets), it) {
   const auto arrived =
       arrivals(it, [&](const HostId &self, const std::vector<HostId> &hosts) {
-        return coldShareOf(Cold, self, hosts, it.PerSecond);
+        return coldRateShare(Cold, self, hosts, it.PerSecond);
       });
   BOOST_TEST(static_cast<double>(mostInASecond(arrived)) <=
              allowed(it.PerSecond));
@@ -114,10 +114,10 @@
 // Guards against a host that begins to send before it knows of any other.
 BOOST_AUTO_TEST_CASE(a_host_that_knows_nobody_has_no_share) {
   const HostId self("host-1");
-  BOOST_TEST(coldShareOf(Cold, self, {}, 18) == 0);
-  BOOST_TEST(coldShareOf(Cold, self, {HostId("host-2")}, 18) == 0);
-  BOOST_TEST(coldShareOf(Cold, self, {self}, 18) == 18);
-  BOOST_TEST(coldShareOf(Cold, self, {self}, 0.4) == 0);
+  BOOST_TEST(coldRateShare(Cold, self, {}, 18) == 0);
+  BOOST_TEST(coldRateShare(Cold, self, {HostId("host-2")}, 18) == 0);
+  BOOST_TEST(coldRateShare(Cold, self, {self}, 18) == 18);
+  BOOST_TEST(coldRateShare(Cold, self, {self}, 0.4) == 0);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Tests/LibServing/TestFleetSoak.cpp
+++ b/Tests/LibServing/TestFleetSoak.cpp
@@ -1,5 +1,5 @@
 #include "../LibDecision/SoakSeeds.h"
-#include "FleetWorld.h"
+#include "FleetSimulation.h"
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
 #include <boost/test/unit_test.hpp>
@@ -53,7 +53,7 @@
   int holders = 0;
   double mostUsed = 0;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-    FleetWorld world({seed, size.Hosts, size.Zones});
+    FleetSimulation world({seed, size.Hosts, size.Zones});
     const std::string broken = world.play(Seconds);
     BOOST_TEST(broken == "", "seed " << seed << ": " << broken);
     calls += world.calls();
@@ -93,7 +93,7 @@
   for (const std::uint64_t seed : seeds) {
     FleetPlan plan{seed, storm.Of.Hosts, storm.Of.Zones};
     plan.HasStorms = true;
-    FleetWorld world(plan);
+    FleetSimulation world(plan);
     const std::string broken = world.play(Seconds);
     BOOST_TEST(broken == "", "seed " << seed << ": " << broken);
     mostUsed = std::max(mostUsed, world.mostUsed());
@@ -106,7 +106,7 @@
                      boost::unit_test::data::make(Omissions), left) {
   bool isNoticed = false;
   for (std::uint64_t seed = 1; seed <= 40 && !isNoticed; ++seed) {
-    FleetWorld world({seed, left.At.Hosts, left.At.Zones, left.Out});
+    FleetSimulation world({seed, left.At.Hosts, left.At.Zones, left.Out});
     isNoticed = world.play(Seconds).find(left.Rule) == 0;
   }
   BOOST_TEST(isNoticed);
--- a/Tests/LibServing/TestFleetView.cpp
+++ b/Tests/LibServing/TestFleetView.cpp
@@ -57,7 +57,7 @@
       ++Messages;
       ++Heard[indexOf(it)];
       if (!IsDown[indexOf(it)])
-        Views[indexOf(it)].hear(report, Now);
+        Views[indexOf(it)].receive(report, Now);
     }
   }
 
@@ -68,11 +68,11 @@
       if (IsDown[n])
         continue;
       FleetView &view = Views[n];
-      view.forgetSilent(Now);
+      view.removeSilent(Now);
       const FleetReport own = ownReport(n);
       view.noteOwn(own, Now);
       tell(view.reportPeers(Members[n], Now), own);
-      if (!view.isZoned() || !view.aggregates(Members[n], Now))
+      if (!view.isAggregatedByZone() || !view.aggregates(Members[n], Now))
         continue;
       const FleetReport zone = view.zoneReport(own, Now);
       tell(view.otherAggregators(Now), zone);
@@ -133,7 +133,7 @@
   fleet.Work.assign(7, 3);
   fleet.rounds(4);
   for (std::size_t n = 0; n < 7; ++n) {
-    BOOST_TEST(!fleet.Views[n].isZoned());
+    BOOST_TEST(!fleet.Views[n].isAggregatedByZone());
     BOOST_TEST(fleet.othersWork(n) == 6 * 3);
     BOOST_TEST(fleet.Views[n].hostCount() == 7);
   }
@@ -205,7 +205,7 @@
   fleet.rounds(12);
   BOOST_TEST(fleet.leaders() == 1);
   // One that doesn't reach the store leads no more.
-  fleet.Members[1].IsCutOff = true;
+  fleet.Members[1].IsStoreUnreachable = true;
   fleet.rounds(12);
   BOOST_TEST(fleet.leaders() == 1);
   BOOST_TEST(!fleet.Views[1].leads(fleet.Members[1], fleet.Now));
@@ -265,12 +265,12 @@
 BOOST_AUTO_TEST_CASE(few_silent_hosts_are_a_small_part) {
   Fleet fleet(180, 6);
   fleet.rounds(12);
-  BOOST_TEST(fleet.Views[0].silentShare(fleet.Now) == 0);
+  BOOST_TEST(fleet.Views[0].silentFraction(fleet.Now) == 0);
   for (const std::size_t n : {30, 31})
     fleet.IsDown[n] = true;
   fleet.rounds(16);
-  BOOST_TEST(fleet.Views[0].silentShare(fleet.Now) > 0.01);
-  BOOST_TEST(fleet.Views[0].silentShare(fleet.Now) < 0.012);
+  BOOST_TEST(fleet.Views[0].silentFraction(fleet.Now) > 0.01);
+  BOOST_TEST(fleet.Views[0].silentFraction(fleet.Now) < 0.012);
 }
 
 // An aggregator loses power. Its zone's hosts would stay unknown to the others,
@@ -288,7 +288,7 @@
   BOOST_TEST(fleet.aggregators() == 4);
   // No caller is sent to it.
   for (std::size_t n = 1; n < 80; ++n)
-    for (const HeardMember &it : fleet.Views[n].members())
+    for (const KnownMember &it : fleet.Views[n].members())
       if (it.Member.Host == fleet.Members[0].Host)
         BOOST_TEST(!fleet.Views[n].isAnswering(it, fleet.Now));
 }
@@ -299,7 +299,7 @@
   Fleet fleet(7, 1);
   fleet.rounds(4);
   BOOST_TEST(fleet.Views[0].aggregates(fleet.Members[0], fleet.Now));
-  fleet.Members[0].IsCutOff = true;
+  fleet.Members[0].IsStoreUnreachable = true;
   fleet.rounds(4);
   BOOST_TEST(!fleet.Views[0].aggregates(fleet.Members[0], fleet.Now));
   BOOST_TEST(fleet.Views[1].aggregates(fleet.Members[1], fleet.Now));
@@ -312,7 +312,7 @@
   Fleet fleet(80, 4);
   fleet.Work.assign(80, 2);
   for (FleetMember &it : fleet.Members)
-    it.IsCutOff = true;
+    it.IsStoreUnreachable = true;
   fleet.rounds(8);
   BOOST_TEST(fleet.aggregators() == 4);
   for (std::size_t n = 0; n < 80; ++n)
@@ -326,7 +326,7 @@
   fleet.Members[2].HoldsDuties = true;
   fleet.rounds(4);
   BOOST_TEST(fleet.Views[0].holdsDuties(fleet.Now));
-  fleet.Members[2].IsCutOff = true;
+  fleet.Members[2].IsStoreUnreachable = true;
   fleet.rounds(2);
   BOOST_TEST(!fleet.Views[0].holdsDuties(fleet.Now));
 }
@@ -340,12 +340,12 @@
   sum.Incarnation = IncarnationId("first");
   sum.Sequence = 5;
   const Instant now{seconds(10)};
-  BOOST_TEST(view.hear(sum, now));
-  BOOST_TEST(!view.hear(sum, now));
+  BOOST_TEST(view.receive(sum, now));
+  BOOST_TEST(!view.receive(sum, now));
   FleetReport second = sum;
   second.Incarnation = IncarnationId("second");
-  BOOST_TEST(!view.hear(second, now + milliseconds(300)));
-  BOOST_TEST(view.hear(second, now + milliseconds(900)));
+  BOOST_TEST(!view.receive(second, now + milliseconds(300)));
+  BOOST_TEST(view.receive(second, now + milliseconds(900)));
 }
 
 // The host that aggregates for a zone loses the store and finds it again. Other
@@ -355,11 +355,11 @@
   Fleet fleet(24, 3);
   for (int n = 0; n < 12; ++n)
     fleet.round();
-  fleet.Members[0].IsCutOff = true;
+  fleet.Members[0].IsStoreUnreachable = true;
   for (int n = 0; n < 12; ++n)
     fleet.round();
   BOOST_TEST(!fleet.Views[0].aggregates(fleet.Members[0], fleet.Now));
-  fleet.Members[0].IsCutOff = false;
+  fleet.Members[0].IsStoreUnreachable = false;
   BOOST_REQUIRE(fleet.Views[0].aggregates(fleet.Members[0], fleet.Now));
   BOOST_REQUIRE(fleet.Views[1].leads(fleet.Members[1], fleet.Now));
   const auto told = fleet.Views[1].otherAggregators(fleet.Now);
@@ -372,7 +372,7 @@
 // A host of a zone is killed and comes back. A sum that fell would look like
 // units given back, and one that began anew would charge the team twice.
 BOOST_AUTO_TEST_CASE(a_sum_never_falls_and_counts_nothing_twice) {
-  UsedSum sum;
+  UsageAggregator sum;
   const TeamId team("t");
   const SourceId host("a");
   const Instant now{seconds(10)};
@@ -399,7 +399,7 @@
 // times as much. What the zone let in until another spoke would be charged to
 // nobody.
 BOOST_AUTO_TEST_CASE(what_came_between_two_aggregators_is_counted_by_the_pace) {
-  UsedSum sum;
+  UsageAggregator sum;
   const TeamId team("t");
   const SourceId zone("z");
   Instant now{seconds(10)};
@@ -422,7 +422,7 @@
 // A new aggregator hears of hosts that have been there for minutes. Their whole
 // lives' calls are no pace.
 BOOST_AUTO_TEST_CASE(the_pace_holds_only_what_was_seen_to_come) {
-  UsedSum sum;
+  UsageAggregator sum;
   const TeamId team("t");
   const SourceId host("a");
   Instant now{seconds(10)};
@@ -438,7 +438,7 @@
 // An aggregator was cut off from its zone for twelve seconds. Told as its pace,
 // what its hosts let in meanwhile would be charged to the teams again.
 BOOST_AUTO_TEST_CASE(what_comes_after_a_silence_is_no_pace) {
-  UsedSum sum;
+  UsageAggregator sum;
   const TeamId team("t");
   const auto tell = [&](int host, UsedUnits used, Instant now) {
     sum.note(SourceId("host " + std::to_string(host)),
--- a/Tests/LibServing/TestOverload.cpp
+++ b/Tests/LibServing/TestOverload.cpp
@@ -30,7 +30,7 @@
   plan.EnginesPerZone = 1;
   plan.Load = {{0, 0.5}, {8, 0.9}};
   const EngineFleetResult limited = EngineFleet(plan).play();
-  plan.WaitingShare = 0;
+  plan.QueueWaitShare = 0;
   const EngineFleetResult open = EngineFleet(plan).play();
   BOOST_TEST(open.All.inTimeShare() < 0.5);
   BOOST_TEST(limited.All.inTimeShare() > 0.5);
@@ -61,7 +61,7 @@
   plan.Load = {{0, 0.7}, {28, 1.3}};
   plan.Losses = {{30, 2}, {35, 1}};
   const EngineFleetResult result = EngineFleet(plan).play();
-  plan.Replicas.ReadingShare = 1e9;
+  plan.Replicas.TargetPrefillShare = 1e9;
   const EngineFleetResult byCalls = EngineFleet(plan).play();
   BOOST_TEST(result.All.inTimeShare() > 0.85);
   BOOST_TEST(result.All.inTimeShare() > byCalls.All.inTimeShare() + 0.05);
--- a/Tests/LibServing/TestReplicaPlan.cpp
+++ b/Tests/LibServing/TestReplicaAutoscaler.cpp
@@ -1,4 +1,4 @@
-#include "LibServing/ReplicaPlan.h"
+#include "LibServing/ReplicaAutoscaler.h"
 #include <boost/test/unit_test.hpp>
 #include <deque>
 
@@ -10,9 +10,9 @@
 /// replicas are not to be had.
 struct Cloud {
   Cloud() {
-    Bounds.Least = 1;
-    Bounds.Most = 6;
-    Bounds.BootTime = seconds(4);
+    Bounds.MinReplicas = 1;
+    Bounds.MaxReplicas = 6;
+    Bounds.StartupTime = seconds(4);
     Bounds.ReclaimablePrice = 0.2;
     Shape.Slots = 48;
     Shape.MemoryTokens = 444000;
@@ -20,7 +20,7 @@
       Seen[ZoneId(zone)];
   }
 
-  void step(ReplicaPlan &plan, const ServiceLoad &load) {
+  void step(ReplicaAutoscaler &plan, const ServiceLoad &load) {
     Now += milliseconds(250);
     while (!Coming.empty() && Coming.front().first <= Now) {
       apply(Coming.front().second);
@@ -37,11 +37,11 @@
       if (it.Count < has)
         apply(it);
       else
-        Coming.emplace_back(Now + Bounds.BootTime, it);
+        Coming.emplace_back(Now + Bounds.StartupTime, it);
     }
   }
 
-  void run(ReplicaPlan &plan, const ServiceLoad &load, Duration span) {
+  void run(ReplicaAutoscaler &plan, const ServiceLoad &load, Duration span) {
     const Instant end = Now + span;
     while (Now < end)
       step(plan, load);
@@ -53,7 +53,7 @@
     IsDry = true;
     for (const char *zone : {"c", "d"}) {
       Seen[ZoneId(zone)].Reclaimable = 0;
-      Seen[ZoneId(zone)].IsReclaimed = true;
+      Seen[ZoneId(zone)].HasReclaimNotice = true;
     }
   }
 
@@ -90,7 +90,7 @@
   Cloud cloud;
   for (auto &[zone, it] : cloud.Seen)
     it.OnDemand = 2;
-  ReplicaPlan plan(cloud.Bounds, cloud.Shape);
+  ReplicaAutoscaler plan(cloud.Bounds, cloud.Shape);
   cloud.run(plan, {60, 300000}, seconds(40));
   BOOST_TEST(cloud.total(false) == 0);
   BOOST_TEST(cloud.total(true) >= plan.needed());
@@ -103,7 +103,7 @@
 // anywhere. Waiting for them left nobody to answer for twenty seconds.
 BOOST_AUTO_TEST_CASE(on_demand_replicas_come_while_others_are_not_to_be_had) {
   Cloud cloud;
-  ReplicaPlan plan(cloud.Bounds, cloud.Shape);
+  ReplicaAutoscaler plan(cloud.Bounds, cloud.Shape);
   const ServiceLoad load{80, 500000};
   cloud.run(plan, load, seconds(30));
   BOOST_TEST(cloud.total(false) == 0);
@@ -124,12 +124,12 @@
 // next zone is gone, too.
 BOOST_AUTO_TEST_CASE(a_notice_brings_on_demand_replicas_at_once) {
   Cloud cloud;
-  ReplicaPlan plan(cloud.Bounds, cloud.Shape);
+  ReplicaAutoscaler plan(cloud.Bounds, cloud.Shape);
   const ServiceLoad load{110, 700000};
   cloud.run(plan, load, seconds(40));
   BOOST_TEST(cloud.total(false) == 0);
   cloud.reclaimHalf();
-  cloud.run(plan, load, cloud.Bounds.BootTime + milliseconds(500));
+  cloud.run(plan, load, cloud.Bounds.StartupTime + milliseconds(500));
   BOOST_TEST(cloud.total(false) > 0);
 }
 
@@ -139,8 +139,8 @@
 // reclaimable ones that went.
 BOOST_AUTO_TEST_CASE(calls_that_pile_up_in_a_shortage_are_no_load) {
   Cloud cloud;
-  cloud.Bounds.Most = 60;
-  ReplicaPlan plan(cloud.Bounds, cloud.Shape);
+  cloud.Bounds.MaxReplicas = 60;
+  ReplicaAutoscaler plan(cloud.Bounds, cloud.Shape);
   cloud.run(plan, {400, 2600000}, seconds(40));
   const int before = plan.needed();
   cloud.reclaimHalf();
@@ -157,7 +157,7 @@
   Cloud cloud;
   for (auto &[zone, it] : cloud.Seen)
     it.OnDemand = 2;
-  ReplicaPlan plan(cloud.Bounds, cloud.Shape);
+  ReplicaAutoscaler plan(cloud.Bounds, cloud.Shape);
   cloud.run(plan, {}, seconds(30));
   BOOST_TEST(cloud.total(true) == 12);
 }
@@ -167,7 +167,7 @@
 // could not be had again, and calls piled up.
 BOOST_AUTO_TEST_CASE(nothing_is_sent_away_while_replicas_are_scarce) {
   Cloud cloud;
-  ReplicaPlan plan(cloud.Bounds, cloud.Shape);
+  ReplicaAutoscaler plan(cloud.Bounds, cloud.Shape);
   cloud.run(plan, {110, 700000}, seconds(40));
   const int perZone = cloud.Seen[ZoneId("a")].Reclaimable;
   cloud.IsDry = true;
@@ -183,7 +183,7 @@
   Cloud cloud;
   for (auto &[zone, it] : cloud.Seen)
     it.Reclaimable = 4;
-  ReplicaPlan plan(cloud.Bounds, cloud.Shape);
+  ReplicaAutoscaler plan(cloud.Bounds, cloud.Shape);
   cloud.run(plan, {20, 100000}, seconds(10));
   BOOST_TEST(cloud.total(true) >= 15);
 }
@@ -192,11 +192,11 @@
   Cloud cloud;
   for (auto &[zone, it] : cloud.Seen)
     it.OnDemand = 4;
-  ReplicaPlan plan(cloud.Bounds, cloud.Shape);
+  ReplicaAutoscaler plan(cloud.Bounds, cloud.Shape);
   for (int n = 0; n < 200; ++n) {
     cloud.step(plan, {2000, 9000000});
     for (const auto &[zone, it] : cloud.Seen)
-      BOOST_TEST(it.OnDemand + it.Reclaimable <= cloud.Bounds.Most);
+      BOOST_TEST(it.OnDemand + it.Reclaimable <= cloud.Bounds.MaxReplicas);
   }
 }
 
@@ -204,8 +204,8 @@
 // for the loss of a zone stands in for the first, and others for the second.
 BOOST_AUTO_TEST_CASE(other_zones_stand_in_for_evacuated_ones) {
   Cloud cloud;
-  cloud.Bounds.Most = 60;
-  ReplicaPlan plan(cloud.Bounds, cloud.Shape);
+  cloud.Bounds.MaxReplicas = 60;
+  ReplicaAutoscaler plan(cloud.Bounds, cloud.Shape);
   const ServiceLoad load{400, 2600000};
   cloud.run(plan, load, seconds(40));
   const int before = cloud.total(true);
@@ -229,10 +229,10 @@
 // nobody needed.
 BOOST_AUTO_TEST_CASE(on_demand_replicas_come_by_what_is_known_to_be_needed) {
   Cloud cloud;
-  cloud.Bounds.Most = 60;
+  cloud.Bounds.MaxReplicas = 60;
   for (auto &[zone, it] : cloud.Seen)
     it.OnDemand = 15;
-  ReplicaPlan plan(cloud.Bounds, cloud.Shape);
+  ReplicaAutoscaler plan(cloud.Bounds, cloud.Shape);
   cloud.run(plan, {}, seconds(12));
   cloud.run(plan, {100, 500000}, seconds(5));
   cloud.reclaimHalf();
@@ -247,8 +247,8 @@
 // that were ordered for two of them came when the third was gone, too.
 BOOST_AUTO_TEST_CASE(one_more_zone_may_go_while_replicas_are_scarce) {
   Cloud cloud;
-  cloud.Bounds.Most = 60;
-  ReplicaPlan plan(cloud.Bounds, cloud.Shape);
+  cloud.Bounds.MaxReplicas = 60;
+  ReplicaAutoscaler plan(cloud.Bounds, cloud.Shape);
   const ServiceLoad load{400, 2600000};
   cloud.run(plan, load, seconds(40));
   cloud.reclaimHalf();
@@ -262,8 +262,8 @@
 // went.
 BOOST_AUTO_TEST_CASE(as_many_further_zones_are_covered_as_were_reclaimed) {
   Cloud cloud;
-  cloud.Bounds.Most = 60;
-  ReplicaPlan plan(cloud.Bounds, cloud.Shape);
+  cloud.Bounds.MaxReplicas = 60;
+  ReplicaAutoscaler plan(cloud.Bounds, cloud.Shape);
   const ServiceLoad load{400, 2600000};
   cloud.run(plan, load, seconds(40));
   cloud.reclaimHalf();
@@ -278,11 +278,11 @@
 // was left; none was to be had when the next zone went.
 BOOST_AUTO_TEST_CASE(a_new_holder_after_a_reclaim_keeps_what_is_left) {
   Cloud cloud;
-  cloud.Bounds.Most = 60;
+  cloud.Bounds.MaxReplicas = 60;
   for (const char *zone : {"a", "b", "c"})
     cloud.Seen[ZoneId(zone)].Reclaimable = 20;
   cloud.IsDry = true;
-  ReplicaPlan plan(cloud.Bounds, cloud.Shape);
+  ReplicaAutoscaler plan(cloud.Bounds, cloud.Shape);
   cloud.run(plan, {20, 100000}, seconds(14));
   BOOST_TEST(cloud.total(true) == 60);
   BOOST_TEST(cloud.total(false) == 0);
--- a/Tests/LibServing/TestReplicaTable.cpp
+++ b/Tests/LibServing/TestReplicaTable.cpp
@@ -147,11 +147,11 @@
   const SourceId peer("p");
   table.notePeer(
       peer, {{UpstreamId("r0"), {3, 700, 900}}, {UpstreamId("r1"), {1, 5, 6}}});
-  BOOST_TEST((table.workAt(UpstreamId("r0")) == OpenWork{3, 700, 900}));
+  BOOST_TEST((table.workAt(UpstreamId("r0")) == OutstandingWork{3, 700, 900}));
   table.note(replica("r1"), Now);
-  BOOST_TEST((table.workAt(UpstreamId("r1")) == OpenWork{1, 5, 6}));
+  BOOST_TEST((table.workAt(UpstreamId("r1")) == OutstandingWork{1, 5, 6}));
   table.notePeer(peer, {});
-  BOOST_TEST((table.workAt(UpstreamId("r0")) == OpenWork{}));
+  BOOST_TEST((table.workAt(UpstreamId("r0")) == OutstandingWork{}));
 }
 
 // Two hundred hosts hear half a second late that a desk has least to do, and a
@@ -159,7 +159,7 @@
 // and it turns most of it away.
 BOOST_AUTO_TEST_CASE(many_hosts_do_not_all_choose_the_same_desk) {
   ReplicaTable table;
-  std::map<UpstreamId, OpenWork> open;
+  std::map<UpstreamId, OutstandingWork> open;
   for (const char *id : {"a", "b", "c", "d", "e", "f"}) {
     ReplicaRecord record;
     record.Id = UpstreamId(id);
@@ -185,7 +185,7 @@
   table.setColdRate(ServiceId("model"), 3);
   table.setHosts(HostId("h"), {HostId("h")});
   ReplicaRecord cold = replica("cold");
-  cold.ColdFor = seconds(3);
+  cold.ColdDuration = seconds(3);
   table.note(cold, Now);
   BOOST_TEST(table.cold(ServiceId("model"), Now) == 1);
   for (int n = 0; n < 3; ++n) {
@@ -205,7 +205,7 @@
   ReplicaTable table;
   table.setColdRate(ServiceId("model"), 3);
   ReplicaRecord cold = replica("cold");
-  cold.ColdFor = seconds(3);
+  cold.ColdDuration = seconds(3);
   table.note(cold, Now);
   BOOST_TEST(!table.choose(request(""), Now));
   table.setHosts(HostId("h"), {HostId("h")});
@@ -242,14 +242,14 @@
   table.note(replica("r1", "b"), Now);
   table.note(replica("r2", "unknown"), Now);
   auto it = request("");
-  it.RouteHomes = {"south"};
+  it.RouteRegions = {"south"};
   BOOST_TEST(table.choose(it, Now)->Id.text() == "r1");
   it.Tried = {UpstreamId("r1")};
   BOOST_TEST(!table.choose(it, Now));
   it.Tried.clear();
-  it.TeamHomes = {"north"};
+  it.TeamRegions = {"north"};
   BOOST_TEST(!table.choose(it, Now));
-  it.RouteHomes = {"north", "south"};
+  it.RouteRegions = {"north", "south"};
   BOOST_TEST(table.choose(it, Now)->Id.text() == "r0");
 }
 
--- a/Tests/LibServing/TestServingPlan.cpp
+++ b/Tests/LibServing/TestServingPlan.cpp
@@ -72,13 +72,13 @@
 
 BOOST_AUTO_TEST_CASE(services_are_drawn_by_weight) {
   ServingRoute split = route("r", "a", "/");
-  split.Split = {
+  split.ServiceWeights = {
       {ServiceId("x"), 90}, {ServiceId("none"), 0}, {ServiceId("y"), 10}};
   BOOST_TEST(chooseService(split, 0.0)->Name.text() == "x");
   BOOST_TEST(chooseService(split, 0.89)->Name.text() == "x");
   BOOST_TEST(chooseService(split, 0.91)->Name.text() == "y");
   BOOST_TEST(chooseService(split, 0.9999999)->Name.text() == "y");
-  split.Split.clear();
+  split.ServiceWeights.clear();
   BOOST_TEST(!chooseService(split, 0.5));
 }
 
--- a/Tests/LibServing/TestSmallParts.cpp
+++ b/Tests/LibServing/TestSmallParts.cpp
@@ -1,7 +1,7 @@
 #include "LibServing/Allotment.h"
 #include "LibServing/EventSplitter.h"
-#include "LibServing/StoreReach.h"
-#include "LibServing/TrueTime.h"
+#include "LibServing/FleetClock.h"
+#include "LibServing/StoreReachability.h"
 #include "LibServing/UsageCounts.h"
 #include <boost/test/unit_test.hpp>
 
@@ -19,9 +19,9 @@
     out += events.feed(stream.substr(cut));
     BOOST_TEST(out == "id: 1\ndata: a\n\nid:2\ndata: b\n\n");
     BOOST_TEST(events.lastId() == "2");
-    BOOST_TEST(events.holdsPart());
-    BOOST_TEST(events.takePart() == "id: 3\ndata");
-    BOOST_TEST(!events.holdsPart());
+    BOOST_TEST(events.hasPartialEvent());
+    BOOST_TEST(events.takePartialEvent() == "id: 3\ndata");
+    BOOST_TEST(!events.hasPartialEvent());
   }
 }
 
@@ -33,7 +33,8 @@
 // (the operators' incident inc-ead2).
 BOOST_AUTO_TEST_CASE(windows_that_can_still_be_in_time_go_first) {
   const auto next = [](const std::vector<WindowNumber> &windows, int now) {
-    return mostUrgent(windows, seconds(5), seconds(10), Instant(seconds(now)))
+    return mostUrgentWindow(windows, seconds(5), seconds(10),
+                            Instant(seconds(now)))
         .value_or(-1);
   };
   BOOST_TEST(next({10, 11, 12}, 60) == 10);
@@ -50,7 +51,7 @@
 // windows would end early and bill the wrong ones.
 BOOST_AUTO_TEST_CASE(a_host_whose_clock_is_off_is_outvoted) {
   const Instant boot{seconds(50)};
-  TrueTime time(Instant(seconds(1002)), boot);
+  FleetClock time(Instant(seconds(1002)), boot);
   BOOST_TEST((time.at(boot) == Instant(seconds(1002))));
   time.notePeer(SourceId("a"), Instant(seconds(1000)), boot);
   time.notePeer(SourceId("b"), Instant(seconds(1000)), boot);
@@ -68,7 +69,7 @@
   const WindowNumber window = usage.windowAt(at);
   BOOST_TEST(window == 2);
   BOOST_TEST((usage.endOf(window) == Instant(seconds(15))));
-  usage.noteBegun(team, at);
+  usage.noteCallStarted(team, at);
   usage.noteHost(ZoneId("z"), IncarnationId("peer"), window, {{team, 5}});
   usage.noteHost(ZoneId("z"), IncarnationId("peer"), window, {{team, 3}});
   // The process that was killed did serve its calls.
@@ -84,7 +85,7 @@
 BOOST_AUTO_TEST_CASE(sums_of_zones_and_of_their_hosts_are_not_added_up) {
   UsageCounts usage(IncarnationId("self"), ZoneId("z"), seconds(5));
   const TeamId team("t");
-  usage.noteBegun(team, Instant(seconds(1)));
+  usage.noteCallStarted(team, Instant(seconds(1)));
   usage.noteHost(ZoneId("z"), IncarnationId("peer of the group"), 0,
                  {{team, 2}});
   usage.noteHost(ZoneId("y"), IncarnationId("afar"), 0, {{team, 10}});
@@ -109,19 +110,19 @@
 // at once that it is cut off, all hosts that aggregate for others would change
 // at the same time.
 BOOST_AUTO_TEST_CASE(a_moment_without_the_store_is_not_being_cut_off) {
-  StoreReach reach;
+  StoreReachability reach;
   Instant now{seconds(10)};
   BOOST_TEST(!reach.isUnreached());
   reach.note(false, now);
   BOOST_TEST(reach.isUnreached());
-  BOOST_TEST(!reach.isCutOff(now + milliseconds(600)));
+  BOOST_TEST(!reach.isStoreUnreachable(now + milliseconds(600)));
   reach.note(true, now += milliseconds(600));
   reach.note(false, now += milliseconds(600));
-  BOOST_TEST(!reach.isCutOff(now));
+  BOOST_TEST(!reach.isStoreUnreachable(now));
   reach.note(false, now + milliseconds(900));
-  BOOST_TEST(reach.isCutOff(now + seconds(1)));
+  BOOST_TEST(reach.isStoreUnreachable(now + seconds(1)));
   reach.note(true, now + seconds(2));
-  BOOST_TEST(!reach.isCutOff(now + seconds(2)));
+  BOOST_TEST(!reach.isStoreUnreachable(now + seconds(2)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Tests/LibServing/TestStopPolicy.cpp
+++ b/Tests/LibServing/TestStopPolicy.cpp
@@ -33,7 +33,7 @@
 // trouble-2 with seed 103381953111).
 BOOST_DATA_TEST_CASE(late_calls_are_taken_only_if_they_end_in_time,
                      boost::unit_test::data::make(Cases), it) {
-  BOOST_TEST(takesWhileStopping(milliseconds(it.SinceStopMs),
-                                milliseconds(it.GraceMs),
-                                milliseconds(it.PatienceMs)) == it.IsTaken);
+  BOOST_TEST(acceptsCallWhileStopping(
+                 milliseconds(it.SinceStopMs), milliseconds(it.GraceMs),
+                 milliseconds(it.PatienceMs)) == it.IsTaken);
 }
--- a/Tests/LibServing/TestTeamMeter.cpp
+++ b/Tests/LibServing/TestTeamRateLimiter.cpp
@@ -1,4 +1,4 @@
-#include "LibServing/TeamMeter.h"
+#include "LibServing/TeamRateLimiter.h"
 #include <boost/test/unit_test.hpp>
 #include <vector>
 
@@ -12,15 +12,16 @@
 
 /// Hosts that let one team's calls in and tell each other what they used.
 struct Fleet {
-  explicit Fleet(int hosts) : Meters(static_cast<std::size_t>(hosts)) {}
+  explicit Fleet(int hosts) : RateLimiters(static_cast<std::size_t>(hosts)) {}
 
   void tellAll(Instant now) {
-    for (std::size_t from = 0; from < Meters.size(); ++from)
-      for (std::size_t to = 0; to < Meters.size(); ++to)
+    for (std::size_t from = 0; from < RateLimiters.size(); ++from)
+      for (std::size_t to = 0; to < RateLimiters.size(); ++to)
         if (from != to)
-          Meters[to].notePeer(
+          RateLimiters[to].notePeer(
               SourceId(std::to_string(from)),
-              {IncarnationId(std::to_string(from)), Meters[from].used()}, now);
+              {IncarnationId(std::to_string(from)), RateLimiters[from].used()},
+              now);
   }
 
   /// Offers that many units a second in all, by turns, and returns what was let
@@ -37,18 +38,19 @@
         tellAll(now);
         told = now;
       }
-      if (Meters[turn % Meters.size()].take(CallUnits, Rate, Burst, now))
+      if (RateLimiters[turn % RateLimiters.size()].take(CallUnits, Rate, Burst,
+                                                        now))
         taken += CallUnits;
     }
     return taken;
   }
 
-  std::vector<TeamMeter> Meters;
+  std::vector<TeamRateLimiter> RateLimiters;
 };
 
 /// Lets the first aggregator "1" tell a zone's sum for two seconds, growing by
 /// so many units each time.
-void hearSum(TeamMeter &meter, const SourceId &zone, UsedUnits growth,
+void hearSum(TeamRateLimiter &meter, const SourceId &zone, UsedUnits growth,
              Instant &now) {
   BOOST_TEST(meter.take(1, 0, Burst, now));
   UsedUnits used = 0;
@@ -79,7 +81,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_peer_that_starts_anew_counts_from_zero) {
-  TeamMeter meter;
+  TeamRateLimiter meter;
   const Instant now{seconds(10)};
   BOOST_TEST(meter.take(1, Rate, Burst, now));
   meter.notePeer(SourceId("a"), {IncarnationId("1"), 500}, now);
@@ -91,14 +93,14 @@
 // calls for minutes. Charged with all of that at once, it would answer "beyond
 // the allotment" to a team that is well within it, for many seconds.
 BOOST_AUTO_TEST_CASE(a_host_that_starts_anew_takes_the_level_from_its_peers) {
-  TeamMeter meter;
+  TeamRateLimiter meter;
   const Instant now{seconds(10)};
   meter.notePeer(SourceId("a"),
                  {IncarnationId("1"), 50 * Rate, true, false, {}, 600}, now);
   meter.notePeer(SourceId("b"),
                  {IncarnationId("1"), 40 * Rate, true, false, {}, 700}, now);
   BOOST_TEST(meter.take(100, Rate, Burst, now));
-  BOOST_TEST(meter.knownLevel().value() == 500);
+  BOOST_TEST(meter.settledLevel().value() == 500);
   // What they let in from then on counts.
   meter.notePeer(SourceId("a"),
                  {IncarnationId("1"), 50 * Rate + 200, true, false, {}, 0},
@@ -110,7 +112,7 @@
 // did. It knew what they had let in, but not what had come in since: callers
 // well within the allotment were turned away.
 BOOST_AUTO_TEST_CASE(a_late_first_call_finds_what_has_come_in_meanwhile) {
-  TeamMeter meter;
+  TeamRateLimiter meter;
   Instant now{seconds(10)};
   UsedUnits used = 0;
   for (int n = 0; n < 20; ++n, now += milliseconds(250)) {
@@ -124,7 +126,7 @@
 // The host that aggregates for a zone changes. What the new one counted before,
 // the team was charged with already; what was let in between must not be lost.
 BOOST_AUTO_TEST_CASE(a_sum_goes_on_with_another_aggregator) {
-  TeamMeter meter;
+  TeamRateLimiter meter;
   Instant now{seconds(10)};
   const SourceId zone("zone");
   hearSum(meter, zone, 100, now);
@@ -143,7 +145,7 @@
 // The aggregator changes just as a team begins to press. The pace of before
 // says too little, and the new aggregator knows better.
 BOOST_AUTO_TEST_CASE(a_new_aggregators_pace_covers_the_time_between) {
-  TeamMeter meter;
+  TeamRateLimiter meter;
   Instant now{seconds(10)};
   const SourceId zone("zone");
   hearSum(meter, zone, 10, now);
@@ -158,14 +160,14 @@
 // would overdraw the allotment, or turn the team away, until it is replaced.
 BOOST_AUTO_TEST_CASE(hosts_agree_on_what_is_left) {
   Instant now{seconds(10)};
-  TeamMeter high;
-  TeamMeter low;
+  TeamRateLimiter high;
+  TeamRateLimiter low;
   BOOST_TEST(high.take(1, Rate, Burst, now));
   BOOST_TEST(low.take(1, Rate, Burst, now));
   for (int n = 0; n < 8; ++n, now += milliseconds(250))
     for (const char *peer : {"a", "b", "c"}) {
       const double told = peer[0] == 'c' ? -9000 : 500;
-      const PeerUse use{IncarnationId("1"), 0, false, false, {}, told};
+      const PeerUsage use{IncarnationId("1"), 0, false, false, {}, told};
       high.notePeer(SourceId(peer), use, now);
       high.agree(now);
       low.notePeer(SourceId(peer), use, now);
@@ -182,7 +184,7 @@
 // A host lets a call in right after its start and hears only then that the
 // bucket is empty.
 BOOST_AUTO_TEST_CASE(a_host_that_began_too_early_believes_its_peers) {
-  TeamMeter meter;
+  TeamRateLimiter meter;
   const Instant now{seconds(10)};
   BOOST_TEST(meter.take(1, Rate, Burst, now));
   meter.notePeer(SourceId("a"),
@@ -195,7 +197,7 @@
 // next to nothing, would all be refused for as long as prompts keep coming.
 BOOST_AUTO_TEST_CASE(small_calls_are_let_in_a_little_longer) {
   constexpr std::int64_t LargeRate = 100000;
-  TeamMeter meter;
+  TeamRateLimiter meter;
   const Instant now{seconds(10)};
   BOOST_TEST(meter.take(LargeRate + 5000, LargeRate, LargeRate, now));
   BOOST_TEST(!meter.take(5000, LargeRate, LargeRate, now));
@@ -210,9 +212,9 @@
 // Two hosts start anew together: nobody knows the level, and nothing has been
 // let in.
 BOOST_AUTO_TEST_CASE(without_older_peers_the_bucket_is_full) {
-  TeamMeter meter;
+  TeamRateLimiter meter;
   const Instant now{seconds(10)};
-  BOOST_TEST(!meter.knownLevel().has_value());
+  BOOST_TEST(!meter.settledLevel().has_value());
   meter.notePeer(SourceId("a"),
                  {IncarnationId("1"), 300, false, false, Burst - 300}, now);
   BOOST_TEST(meter.take(1, Rate, Burst, now));
@@ -220,7 +222,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(units_of_a_call_that_did_not_run_come_back) {
-  TeamMeter meter;
+  TeamRateLimiter meter;
   const Instant now{seconds(10)};
   BOOST_TEST(meter.take(Burst, Rate, Burst, now));
   BOOST_TEST(!meter.take(CallUnits, Rate, Burst, now));
@@ -237,7 +239,7 @@
 // bucket for minutes, first here and then at all hosts that take over the
 // level.
 BOOST_AUTO_TEST_CASE(a_host_that_wakes_does_not_empty_the_bucket) {
-  TeamMeter meter;
+  TeamRateLimiter meter;
   Instant now{seconds(10)};
   std::map<std::string, UsedUnits> used;
   const auto tell = [&] {
@@ -263,7 +265,7 @@
 // One host's level is wrong, by whatever mistake. The others must not move
 // towards a figure that no allotment can owe.
 BOOST_AUTO_TEST_CASE(a_level_that_cannot_be_is_not_taken_over) {
-  TeamMeter meter;
+  TeamRateLimiter meter;
   Instant now{seconds(10)};
   BOOST_TEST(meter.take(1, Rate, Burst, now));
   for (int n = 0; n < 40; ++n, now += milliseconds(250)) {
