--- a/Libraries/LibDecision/Admission.h
+++ b/Libraries/LibDecision/Admission.h
@@ -14,10 +14,10 @@
 
 enum class AdmissionKind { Start, Refuse };
 
-enum class RefusalCause {
+enum class AdmissionRefusalCause {
   None,
   /// Its answer could not begin before its deadline.
-  Hopeless,
+  DeadlineUnreachable,
   /// Its team has as many calls waiting as it may.
   QueueFull,
 };
@@ -26,28 +26,28 @@
 struct AdmissionAction {
   AdmissionKind Kind = AdmissionKind::Start;
   std::uint64_t CallId = 0;
-  RefusalCause Reason = RefusalCause::None;
+  AdmissionRefusalCause Reason = AdmissionRefusalCause::None;
   /// When a refused caller should come back.
   Duration RetryAfter{};
 };
 
 struct AdmissionSettings {
   /// Calls that this daemon may have open at the service's upstreams.
-  int Places = 16;
+  int CallSlots = 16;
   std::size_t MaxQueuedPerTeam = 256;
   /// Cost that a team of weight 1 may start in each round.
   double Quantum = 1;
   /// Cost a second that is drained, until it has been measured.
   double InitialDrainRate = 10;
   /// How long a started call takes to its first token, until measured.
-  Duration InitialHold = milliseconds(200);
+  Duration InitialResponseTime = milliseconds(200);
   /// What the expected wait is multiplied with before a call is let in: calls
   /// that come later and go first make it longer.
-  double WaitCaution = 1.5;
+  double WaitSafetyFactor = 1.5;
   /// Deviations that are added to the expected time to a first token.
-  double HoldCaution = 1;
-  Duration LeastRetryAfter = seconds(1);
-  Duration MostRetryAfter = seconds(30);
+  double ResponseTimeDeviations = 1;
+  Duration MinRetryAfter = seconds(1);
+  Duration MaxRetryAfter = seconds(30);
 };
 
 /// Decides for one service which calls start, which wait and which are
@@ -60,7 +60,7 @@
 
   /// The teams' weights; a team that isn't named weighs 1.
   void setTeams(const std::vector<Team> &teams);
-  std::vector<AdmissionAction> setPlaces(int places, Instant now);
+  std::vector<AdmissionAction> setCallSlots(int places, Instant now);
   std::vector<AdmissionAction> arrive(const QueuedCall &call, Instant now);
   /// A started call has its first token; it keeps its place until it is over.
   void begin(std::uint64_t callId, Instant now);
@@ -81,12 +81,13 @@
     bool HasBegun = false;
   };
 
-  bool hasFreePlace() const;
+  bool hasFreeCallSlot() const;
   /// Accounts for the time since the last event.
   void advance(Instant now);
   Duration waitFor(const QueuedCall &call, double caution) const;
-  bool makesDeadline(const QueuedCall &call, Duration wait, Instant now) const;
-  AdmissionAction refuse(const QueuedCall &call, RefusalCause reason,
+  bool canMeetDeadline(const QueuedCall &call, Duration wait,
+                       Instant now) const;
+  AdmissionAction refuse(const QueuedCall &call, AdmissionRefusalCause reason,
                          Instant now);
   /// Cost a second that is drained for the team among those that wait.
   double teamRate(const TeamId &team) const;
@@ -101,7 +102,7 @@
   std::unordered_map<std::uint64_t, StartedCall> Started;
   Instant Now{};
   /// Until when each team's room has been promised to its refused callers.
-  std::map<TeamId, Instant> PromisedUntil;
+  std::map<TeamId, Instant> ReservedUntil;
 };
 
 } // namespace sorrelbay
--- a/Libraries/LibDecision/AnswerStream.cpp
+++ b/Libraries/LibDecision/AnswerStream.cpp
@@ -29,8 +29,8 @@
 std::optional<TokenVerdict>
 AnswerStream::whyNotCurrent(const RequestId &request, AnswerAttempt attempt) {
   if (request != Request || attempt == 0 || attempt > Last) {
-    ++Dropped.Crossed;
-    return TokenVerdict::Crossed;
+    ++Dropped.Misrouted;
+    return TokenVerdict::Misrouted;
   }
   if (Ended || attempt != Current) {
     ++Dropped.Late;
@@ -64,7 +64,8 @@
 
 EndVerdict AnswerStream::finish(const ArrivedEnd &end) {
   if (auto why = whyNotCurrent(end.Request, end.Attempt))
-    return *why == TokenVerdict::Late ? EndVerdict::Late : EndVerdict::Crossed;
+    return *why == TokenVerdict::Late ? EndVerdict::Late
+                                      : EndVerdict::Misrouted;
   Current = 0;
   if (end.Length != nextOffset()) {
     ++Dropped.TruncatedEnds;
--- a/Libraries/LibDecision/AnswerStream.h
+++ b/Libraries/LibDecision/AnswerStream.h
@@ -40,7 +40,7 @@
   /// From an attempt that is over, or after the end of the answer.
   Late,
   /// Of another request, or from an attempt that was never begun.
-  Crossed,
+  Misrouted,
   /// At an offset that was taken before.
   Duplicated,
   /// Beyond the next offset: tokens were lost, and the attempt is over.
@@ -51,7 +51,7 @@
 enum class EndVerdict {
   Whole,
   Late,
-  Crossed,
+  Misrouted,
   /// The length is absent or isn't that of the tokens taken; the attempt is
   /// over and the answer is not.
   Truncated,
@@ -72,7 +72,7 @@
 /// How many arrivals were not taken, by cause.
 struct DroppedCount {
   std::uint64_t Late = 0;
-  std::uint64_t Crossed = 0;
+  std::uint64_t Misrouted = 0;
   std::uint64_t Duplicated = 0;
   std::uint64_t Gaps = 0;
   std::uint64_t TruncatedEnds = 0;
--- a/Libraries/LibDecision/CallTicket.cpp
+++ b/Libraries/LibDecision/CallTicket.cpp
@@ -10,7 +10,7 @@
 static constexpr char AddressSign = '@';
 static constexpr char Separator = ':';
 
-CallKey ticketKey(const CallTicket &ticket) {
+IdempotencyKey ticketKey(const CallTicket &ticket) {
   std::string text(Prefix);
   text += ticket.Owner.text();
   text += AddressSign;
@@ -19,7 +19,7 @@
   text += std::to_string(ticket.Expiry.time_since_epoch().count());
   text += Separator;
   text += std::to_string(ticket.Serial);
-  return CallKey(text);
+  return IdempotencyKey(text);
 }
 
 template <typename Number>
@@ -42,7 +42,7 @@
   return last;
 }
 
-std::optional<CallTicket> parseTicket(const CallKey &key) {
+std::optional<CallTicket> parseTicket(const IdempotencyKey &key) {
   std::string_view text = key.text();
   if (text.substr(0, Prefix.size()) != Prefix)
     return std::nullopt;
--- a/Libraries/LibDecision/CallTicket.h
+++ b/Libraries/LibDecision/CallTicket.h
@@ -25,9 +25,9 @@
 };
 
 /// The ticket as a caller sends it in place of its own key.
-CallKey ticketKey(const CallTicket &ticket);
+IdempotencyKey ticketKey(const CallTicket &ticket);
 
 /// The ticket that the key is, or nothing if it is a caller's own key.
-std::optional<CallTicket> parseTicket(const CallKey &key);
+std::optional<CallTicket> parseTicket(const IdempotencyKey &key);
 
 } // namespace sorrelbay
--- a/Libraries/LibDecision/CanaryJudge.cpp
+++ b/Libraries/LibDecision/CanaryJudge.cpp
@@ -10,8 +10,8 @@
 static constexpr double LeastOldRate = 0.002;
 static constexpr double LargestOldRate = 0.8;
 static constexpr double LargestRate = 0.99;
-static constexpr std::array<BadCall, 2> Reasons = {BadCall::Failure,
-                                                   BadCall::Lateness};
+static constexpr std::array<BadCallKind, 2> Reasons = {BadCallKind::Failure,
+                                                       BadCallKind::Lateness};
 // Calls that the old version's long-run rate counts for in an interval. Late
 // answers come in waves that hit both versions, so there the interval's own
 // rate must soon outweigh it.
@@ -33,8 +33,8 @@
 // so many times the calls that end it.
 static constexpr std::uint64_t IntervalGrowth = 10;
 
-static std::uint64_t badCalls(const EvidenceCount &count, BadCall reason) {
-  return reason == BadCall::Failure ? count.Failures : count.Late;
+static std::uint64_t badCalls(const EvidenceCount &count, BadCallKind reason) {
+  return reason == BadCallKind::Failure ? count.Failures : count.Late;
 }
 
 static std::uint64_t grown(std::uint64_t now, std::uint64_t before) {
@@ -72,15 +72,15 @@
 }
 
 /// Calls that the old version's long-run rate stands for in an interval.
-static double longRunWeight(const EvidenceCount &longRun, BadCall reason) {
+static double longRunWeight(const EvidenceCount &longRun, BadCallKind reason) {
   const double most =
-      reason == BadCall::Lateness ? LongRunCallsOfLateness : LongRunCalls;
+      reason == BadCallKind::Lateness ? LongRunCallsOfLateness : LongRunCalls;
   return std::min(most, static_cast<double>(longRun.Calls) + AssumedCalls);
 }
 
 /// The old version's rate in the interval, drawn towards its long-run rate.
 static double oldRate(const EvidenceCount &longRun,
-                      const ComparedCounts &interval, BadCall reason) {
+                      const ComparedCounts &interval, BadCallKind reason) {
   const auto longCalls = static_cast<double>(longRun.Calls);
   const auto longBad = static_cast<double>(badCalls(longRun, reason));
   const double steady =
@@ -94,7 +94,7 @@
                                  LargestOldRate);
   // A zone's reclaim makes every version late. With nothing beside it, only
   // gross lateness is held against the new one.
-  if (reason == BadCall::Lateness && isAlone(interval))
+  if (reason == BadCallKind::Lateness && isAlone(interval))
     return withOdds(wary, OddsAlone);
   return wary;
 }
@@ -104,7 +104,8 @@
 /// Without it, a share near the full one would take the chance errors of a few
 /// old calls for a difference.
 static double comparablePart(const EvidenceCount &longRun,
-                             const ComparedCounts &interval, BadCall reason) {
+                             const ComparedCounts &interval,
+                             BadCallKind reason) {
   const double old =
       static_cast<double>(interval.Old.Calls) + longRunWeight(longRun, reason);
   return old / (old + static_cast<double>(interval.New.Calls));
@@ -138,7 +139,8 @@
   }
 }
 
-LogRatios CanaryJudge::openRatios(const Track &track, BadCall reason) const {
+LogRatios CanaryJudge::openRatios(const Track &track,
+                                  BadCallKind reason) const {
   const ComparedCounts open = since(track.Now, track.Interval);
   const EvidenceCount &longRun = track.Interval.Old;
   return comparablePart(longRun, open, reason) *
@@ -146,20 +148,20 @@
                      oldRate(longRun, open, reason));
 }
 
-double CanaryJudge::marginOf(BadCall reason) const {
-  return reason == BadCall::Failure ? Settings.FailureMargin
-                                    : Settings.LateMargin;
+double CanaryJudge::marginOf(BadCallKind reason) const {
+  return reason == BadCallKind::Failure ? Settings.FailureMargin
+                                        : Settings.LateMargin;
 }
 
-double CanaryJudge::openSafety(const Track &track, BadCall reason,
-                               double margin) const {
+double CanaryJudge::openEvidence(const Track &track, BadCallKind reason,
+                                 double margin) const {
   const ComparedCounts open = since(track.Now, track.Interval);
   const double rate = oldRate(track.Interval.Old, open, reason);
   const double worse = std::min(rate + margin, LargestRate);
   return -logRatioOf(open.New.Calls, badCalls(open.New, reason), rate, worse);
 }
 
-bool CanaryJudge::intervalIsFull() const {
+bool CanaryJudge::isIntervalFull() const {
   ComparedCounts sum;
   for (const Track &it : Tracks) {
     const ComparedCounts open = since(it.Now, it.Interval);
@@ -178,15 +180,15 @@
   LogRatios failures{};
   LogRatios lateness{};
   for (Track &it : Tracks) {
-    const LogRatios failed = openRatios(it, BadCall::Failure);
-    const LogRatios late = openRatios(it, BadCall::Lateness);
+    const LogRatios failed = openRatios(it, BadCallKind::Failure);
+    const LogRatios late = openRatios(it, BadCallKind::Lateness);
     it.Failures.closeInterval(failed);
     it.Lateness.closeInterval(late);
     failures = failures + failed;
     lateness = lateness + late;
     for (std::size_t n = 0; n < Reasons.size(); ++n) {
-      it.Safety[n] += openSafety(it, Reasons[n], marginOf(Reasons[n]));
-      it.StageSafety[n] += openSafety(it, Reasons[n], Settings.GrossMargin);
+      it.Safety[n] += openEvidence(it, Reasons[n], marginOf(Reasons[n]));
+      it.StageSafety[n] += openEvidence(it, Reasons[n], Settings.SevereMargin);
     }
   }
   AllFailures.closeInterval(failures);
@@ -201,7 +203,7 @@
   double sum = 0;
   double largest = 0;
   // Keeps the heaviest test as the finding.
-  const auto take = [&](double value, BadCall reason, const RouteId &route,
+  const auto take = [&](double value, BadCallKind reason, const RouteId &route,
                         const ComparedCounts &seen) {
     sum += value;
     if (value <= largest)
@@ -212,23 +214,23 @@
   const double weightOfRoute =
       WeightOfReason * (1 - WeightOfAll) / static_cast<double>(Tracks.size());
   for (const Track &it : Tracks) {
-    const LogRatios failed = openRatios(it, BadCall::Failure);
-    const LogRatios late = openRatios(it, BadCall::Lateness);
+    const LogRatios failed = openRatios(it, BadCallKind::Failure);
+    const LogRatios late = openRatios(it, BadCallKind::Lateness);
     const ComparedCounts seen = since(it.Now, it.Begin);
-    take(weightOfRoute * it.Failures.value(failed), BadCall::Failure, it.Id,
+    take(weightOfRoute * it.Failures.value(failed), BadCallKind::Failure, it.Id,
          seen);
-    take(weightOfRoute * it.Lateness.value(late), BadCall::Lateness, it.Id,
+    take(weightOfRoute * it.Lateness.value(late), BadCallKind::Lateness, it.Id,
          seen);
     failures = failures + failed;
     lateness = lateness + late;
   }
   const double weight = WeightOfReason * WeightOfAll;
-  take(weight * AllFailures.value(failures), BadCall::Failure, RouteId(),
+  take(weight * AllFailures.value(failures), BadCallKind::Failure, RouteId(),
        allCalls());
-  take(weight * AllLateness.value(lateness), BadCall::Lateness, RouteId(),
+  take(weight * AllLateness.value(lateness), BadCallKind::Lateness, RouteId(),
        allCalls());
   Finding.Statistic = sum;
-  IsBad = sum >= Settings.BadAt;
+  IsBad = sum >= Settings.BadThreshold;
 }
 
 bool CanaryJudge::observe(const EvidencePool &pool) {
@@ -236,7 +238,7 @@
     return true;
   read(pool);
   weigh();
-  if (!IsBad && intervalIsFull())
+  if (!IsBad && isIntervalFull())
     closeInterval();
   return IsBad;
 }
@@ -262,7 +264,7 @@
     return 0;
   std::array<double, 2> out = track->Safety;
   for (std::size_t n = 0; n < Reasons.size(); ++n)
-    out[n] += openSafety(*track, Reasons[n], marginOf(Reasons[n]));
+    out[n] += openEvidence(*track, Reasons[n], marginOf(Reasons[n]));
   return std::min(out[0], out[1]);
 }
 
@@ -272,7 +274,7 @@
     return 0;
   std::array<double, 2> out = track->StageSafety;
   for (std::size_t n = 0; n < Reasons.size(); ++n)
-    out[n] += openSafety(*track, Reasons[n], Settings.GrossMargin);
+    out[n] += openEvidence(*track, Reasons[n], Settings.SevereMargin);
   return std::min(out[0], out[1]);
 }
 
--- a/Libraries/LibDecision/CanaryJudge.h
+++ b/Libraries/LibDecision/CanaryJudge.h
@@ -8,20 +8,20 @@
 namespace sorrelbay {
 
 /// What a version is judged by.
-enum class BadCall { Failure, Lateness };
+enum class BadCallKind { Failure, Lateness };
 
 /// How sure the judge must be.
 struct JudgeSettings {
   /// The mixture's value at which a version is bad. A version that is no worse
   /// than the old one must get there in less than 1 of 100 moves.
-  double BadAt = 100;
+  double BadThreshold = 100;
   /// A version that fails this much more often than the old one must not move
   /// on: evidence for a step is evidence against this rate.
   double FailureMargin = 0.04;
   /// The same for calls later than the latency target.
   double LateMargin = 0.10;
   /// The same for a grossly bad version, by failures or by lateness.
-  double GrossMargin = 0.3;
+  double SevereMargin = 0.3;
   /// Calls to the new version after which an interval ends.
   std::uint64_t IntervalCalls = 40;
 };
@@ -33,8 +33,8 @@
 };
 
 /// What the judge found when it called a version bad.
-struct BadFinding {
-  BadCall Reason = BadCall::Failure;
+struct RegressionFinding {
+  BadCallKind Reason = BadCallKind::Failure;
   /// The route whose calls weighed most; empty if all routes together did.
   RouteId OnRoute;
   /// The mixture's value.
@@ -56,7 +56,7 @@
   bool observe(const EvidencePool &pool);
 
   /// What made the version bad; only after observe() returned true.
-  const BadFinding &finding() const { return Finding; }
+  const RegressionFinding &finding() const { return Finding; }
 
   /// Begins to collect the evidence for the next step anew.
   void beginStage();
@@ -99,15 +99,16 @@
   SequentialTest AllLateness;
   bool Begun = false;
   bool IsBad = false;
-  BadFinding Finding;
+  RegressionFinding Finding;
 
   void read(const EvidencePool &pool);
   void closeInterval();
-  bool intervalIsFull() const;
+  bool isIntervalFull() const;
   void weigh();
-  LogRatios openRatios(const Track &track, BadCall reason) const;
-  double openSafety(const Track &track, BadCall reason, double margin) const;
-  double marginOf(BadCall reason) const;
+  LogRatios openRatios(const Track &track, BadCallKind reason) const;
+  double openEvidence(const Track &track, BadCallKind reason,
+                      double margin) const;
+  double marginOf(BadCallKind reason) const;
   const Track *find(const RouteId &route) const;
 };
 
--- a/Libraries/LibDecision/DeskCallAnswer.h
+++ b/Libraries/LibDecision/DeskCallAnswer.h
@@ -32,7 +32,7 @@
   /// The desk was sent the call and did not answer.
   DeskLost,
   /// Every desk that was asked refused the connection or the call.
-  NoDesk,
+  NoDeskAvailable,
   /// The ticket is another incarnation's that can't be reached.
   OwnerUnreachable,
   /// The ticket is too old.
--- a/Libraries/LibDecision/DeskCallProtocol.cpp
+++ b/Libraries/LibDecision/DeskCallProtocol.cpp
@@ -55,7 +55,7 @@
                                            Instant at) {
   if (outcome.Verdict == EditVerdict::Accepted) {
     HoldsIntent = true;
-    if (IsAnswered || at - StartedAt > Settings.SendPatience)
+    if (IsAnswered || at - StartedAt > Settings.MaxSendDelay)
       return close(RefusalReason::DeadlinePassed);
     return sendToDesk();
   }
@@ -101,8 +101,8 @@
   if (Now != Step::AwaitDesk)
     return {};
   MayHaveRun = false;
-  if (IsAnswered || DesksTried >= Settings.MaxDesks)
-    return close(RefusalReason::NoDesk);
+  if (IsAnswered || DesksTried >= Settings.MaxDeskTries)
+    return close(RefusalReason::NoDeskAvailable);
   return sendToDesk();
 }
 
--- a/Libraries/LibDecision/DeskCallProtocol.h
+++ b/Libraries/LibDecision/DeskCallProtocol.h
@@ -28,11 +28,11 @@
 /// What varies between deployments.
 struct DeskCallSettings {
   /// How many replicas are tried while none has taken the call.
-  int MaxDesks = 3;
+  int MaxDeskTries = 3;
   /// The longest time from asking for the intent to sending the call. It is
   /// far below the ledger's retention, so that a process that was paused
   /// between the two can't send on an intent that has been forgotten.
-  Duration SendPatience = minutes(1);
+  Duration MaxSendDelay = minutes(1);
   /// How often the result is offered to the ledger, and how far apart.
   int MaxResultTries = 5;
   Duration ResultRetryDelay = milliseconds(500);
--- a/Libraries/LibDecision/DrainRate.cpp
+++ b/Libraries/LibDecision/DrainRate.cpp
@@ -10,20 +10,22 @@
 static constexpr double MeanGain = 0.125;
 static constexpr double DeviationGain = 0.25;
 
-DrainRate::DrainRate(double initialRate, Duration initialHold)
-    : Work(initialRate * InitialSeconds), MeanHold(toSeconds(initialHold)),
-      HoldDeviation(toSeconds(initialHold) / 2) {}
+DrainRate::DrainRate(double initialRate, Duration initialResponseTime)
+    : Work(initialRate * InitialBusySeconds),
+      MeanResponseTime(toSeconds(initialResponseTime)),
+      ResponseTimeDeviation(toSeconds(initialResponseTime) / 2) {}
 
-void DrainRate::noteBusy(Duration span) {
+void DrainRate::noteBusyTime(Duration span) {
   const double kept = std::exp2(-toSeconds(span) / HalfLifeSeconds);
   Work *= kept;
   BusySeconds = BusySeconds * kept + toSeconds(span);
 }
 
-void DrainRate::noteHold(Duration hold) {
-  const double error = toSeconds(hold) - MeanHold;
-  MeanHold += MeanGain * error;
-  HoldDeviation += DeviationGain * (std::abs(error) - HoldDeviation);
+void DrainRate::noteResponseTime(Duration hold) {
+  const double error = toSeconds(hold) - MeanResponseTime;
+  MeanResponseTime += MeanGain * error;
+  ResponseTimeDeviation +=
+      DeviationGain * (std::abs(error) - ResponseTimeDeviation);
 }
 
 double DrainRate::rate() const {
@@ -32,7 +34,7 @@
 }
 
 Duration DrainRate::hold(double deviations) const {
-  return fromSeconds(MeanHold + deviations * HoldDeviation);
+  return fromSeconds(MeanResponseTime + deviations * ResponseTimeDeviation);
 }
 
 } // namespace sorrelbay
--- a/Libraries/LibDecision/DrainRate.h
+++ b/Libraries/LibDecision/DrainRate.h
@@ -8,14 +8,14 @@
 /// long a started call takes. Old measurements fade.
 class DrainRate {
 public:
-  DrainRate(double initialRate, Duration initialHold);
+  DrainRate(double initialRate, Duration initialResponseTime);
 
   /// The service was busy, with every place taken, for that long.
-  void noteBusy(Duration span);
+  void noteBusyTime(Duration span);
   /// A call of that cost was over while the service was busy.
-  void noteWork(double cost) { Work += cost; }
+  void noteCompletedCost(double cost) { Work += cost; }
   /// A call took that long from its start to its first token, or its answer.
-  void noteHold(Duration hold);
+  void noteResponseTime(Duration hold);
 
   /// Cost a second.
   double rate() const;
@@ -24,12 +24,12 @@
 
 private:
   /// What the first guess weighs beside measurements.
-  static constexpr double InitialSeconds = 1;
+  static constexpr double InitialBusySeconds = 1;
 
   double Work;
-  double BusySeconds = InitialSeconds;
-  double MeanHold;
-  double HoldDeviation;
+  double BusySeconds = InitialBusySeconds;
+  double MeanResponseTime;
+  double ResponseTimeDeviation;
 };
 
 } // namespace sorrelbay
--- /dev/null
+++ b/Libraries/LibDecision/EngineCommands.cpp
@@ -0,0 +1,35 @@
+#include "LibDecision/EngineCommands.h"
+#include "LibBase/Invariant.h"
+
+namespace sorrelbay {
+
+bool EngineCommands::mayOrder(const EngineVersions &engine,
+                              const LeaderLease &lease, Instant now) const {
+  if (engine.HonoursFencing)
+    return lease.mayOrder(now);
+  const auto underWay = InFlightUntil.find(engine.Engine);
+  if (underWay != InFlightUntil.end() && now <= underWay->second)
+    return false;
+  return lease.mayCommandUnfenced(now) &&
+         engine.AskedAt >= lease.unfencedFrom();
+}
+
+std::vector<EngineCommand>
+EngineCommands::decide(const std::map<UpstreamId, std::set<VersionId>> &wanted,
+                       const std::vector<EngineVersions> &seen,
+                       const LeaderLease &lease, Instant now) {
+  std::vector<EngineCommand> orders;
+  for (const EngineVersions &it : seen) {
+    const auto found = wanted.find(it.Engine);
+    if (found == wanted.end() || found->second == it.Versions ||
+        !mayOrder(it, lease, now))
+      continue;
+    verifyInvariant(lease.isHeld(now), "only the lease's holder gives orders",
+                    "an order without the lease");
+    InFlightUntil[it.Engine] = now + OrderTimeout;
+    orders.push_back({it.Engine, found->second, lease.fencing()});
+  }
+  return orders;
+}
+
+} // namespace sorrelbay
--- a/Libraries/LibDecision/LevelOrders.h
+++ b/Libraries/LibDecision/EngineCommands.h
@@ -2,7 +2,7 @@
 
 #include "LibBase/Identifier.h"
 #include "LibBase/Time.h"
-#include "LibDecision/MoverLease.h"
+#include "LibDecision/LeaderLease.h"
 #include <cstdint>
 #include <map>
 #include <set>
@@ -11,7 +11,7 @@
 namespace sorrelbay {
 
 /// The versions that an engine holds, as it said itself.
-struct EngineLevels {
+struct EngineVersions {
   UpstreamId Engine;
   std::set<VersionId> Versions;
   /// Whether it refuses orders with an old fencing number.
@@ -23,36 +23,36 @@
 /// To hold exactly these versions. Orders name the wanted state and not the
 /// step to it, so that one that is lost, late or sent twice does no harm that
 /// the next does not mend.
-struct LevelOrder {
+struct EngineCommand {
   UpstreamId Engine;
   std::set<VersionId> Versions;
-  std::uint64_t Fencing = 0;
+  std::uint64_t FencingToken = 0;
 };
 
 /// The orders by which engines come to hold what they should.
-class LevelOrders {
+class EngineCommands {
 public:
   /// An order that has not reached its engine by the timeout never does.
-  explicit LevelOrders(Duration orderTimeout) : OrderTimeout(orderTimeout) {}
+  explicit EngineCommands(Duration orderTimeout) : OrderTimeout(orderTimeout) {}
 
   /// The orders to give now. Engines that are not named in what is wanted are
   /// left alone. None without the lease; to engines that take any fencing
   /// number only after they were read back in this term, since what was ordered
   /// before shows only there, and none while an earlier one may be under way,
   /// since the two could arrive in the wrong order.
-  std::vector<LevelOrder>
+  std::vector<EngineCommand>
   decide(const std::map<UpstreamId, std::set<VersionId>> &wanted,
-         const std::vector<EngineLevels> &seen, const MoverLease &lease,
+         const std::vector<EngineVersions> &seen, const LeaderLease &lease,
          Instant now);
   /// The engine has answered its last order.
-  void noteAnswered(const UpstreamId &engine) { UnderWayUntil.erase(engine); }
+  void noteAnswered(const UpstreamId &engine) { InFlightUntil.erase(engine); }
 
 private:
-  bool mayOrder(const EngineLevels &engine, const MoverLease &lease,
+  bool mayOrder(const EngineVersions &engine, const LeaderLease &lease,
                 Instant now) const;
 
   Duration OrderTimeout;
-  std::map<UpstreamId, Instant> UnderWayUntil;
+  std::map<UpstreamId, Instant> InFlightUntil;
 };
 
 } // namespace sorrelbay
--- a/Libraries/LibDecision/FairQueue.cpp
+++ b/Libraries/LibDecision/FairQueue.cpp
@@ -21,7 +21,7 @@
   TeamQueue &queue = added.first->second;
   if (added.second) {
     queue.Deficit = Quantum * weightOf(call.OfTeam);
-    level.NewTurns.push_back(call.OfTeam);
+    level.NewTeams.push_back(call.OfTeam);
   }
   queue.Calls.push_back(call);
   queue.Cost += call.Cost;
@@ -40,8 +40,8 @@
 
 QueuedCall FairQueue::takeFront(Level &level) {
   for (;;) {
-    const bool isNew = !level.NewTurns.empty();
-    std::list<TeamId> &turns = isNew ? level.NewTurns : level.OldTurns;
+    const bool isNew = !level.NewTeams.empty();
+    std::list<TeamId> &turns = isNew ? level.NewTeams : level.OldTeams;
     const TeamId team = turns.front();
     TeamQueue &queue = level.Teams[team];
     // Also for a team that has nothing left: forgotten with its debt, it would
@@ -50,7 +50,7 @@
     if (isInDebt)
       queue.Deficit += Quantum * weightOf(team);
     if (isInDebt || (queue.Calls.empty() && isNew)) {
-      level.OldTurns.splice(level.OldTurns.end(), turns, turns.begin());
+      level.OldTeams.splice(level.OldTeams.end(), turns, turns.begin());
       continue;
     }
     if (queue.Calls.empty()) {
--- a/Libraries/LibDecision/FairQueue.h
+++ b/Libraries/LibDecision/FairQueue.h
@@ -68,10 +68,10 @@
     std::map<TeamId, TeamQueue> Teams;
     /// Teams that have just begun to wait; they go before the others until
     /// their first quantum is used up.
-    std::list<TeamId> NewTurns;
+    std::list<TeamId> NewTeams;
     /// The rest, the one whose turn it is in front. A team that has nothing
     /// left stays until its next turn, so that it can't be new again at once.
-    std::list<TeamId> OldTurns;
+    std::list<TeamId> OldTeams;
     std::size_t Calls = 0;
   };
 
--- a/Libraries/LibDecision/HostMix.cpp
+++ b/Libraries/LibDecision/HostMix.cpp
@@ -25,8 +25,8 @@
 
 /// Takes reclaimable hosts, the cheapest first, up to the level in each zone,
 /// until the capacity would outlast the loss of a zone.
-HostMix fillToLevel(const std::vector<HostOffer> &reclaimable, double level,
-                    double capacity, double mostReclaimable) {
+HostMix fillZones(const std::vector<HostOffer> &reclaimable, double level,
+                  double capacity, double mostReclaimable) {
   HostMix mix;
   std::map<ZoneId, double> zones;
   double largest = 0;
@@ -34,7 +34,7 @@
   for (const HostOffer &it : reclaimable) {
     double &zone = zones[it.InZone];
     int hosts = 0;
-    while (hosts < it.MostHosts && sum - largest < capacity - Tolerance &&
+    while (hosts < it.MaxHosts && sum - largest < capacity - Tolerance &&
            zone + it.Capacity <= level + Tolerance &&
            sum + it.Capacity <= mostReclaimable + Tolerance) {
       ++hosts;
@@ -58,7 +58,7 @@
       break;
     const double wanted = std::ceil(missing / it.Capacity - Tolerance);
     const int hosts =
-        static_cast<int>(std::min(wanted, static_cast<double>(it.MostHosts)));
+        static_cast<int>(std::min(wanted, static_cast<double>(it.MaxHosts)));
     if (hosts == 0)
       continue;
     mix.push_back({it, hosts});
@@ -86,7 +86,7 @@
                               bool isReclaimable) {
   std::vector<HostOffer> out;
   for (const HostOffer &it : offers)
-    if (it.IsReclaimable == isReclaimable && it.MostHosts > 0)
+    if (it.IsReclaimable == isReclaimable && it.MaxHosts > 0)
       out.push_back(it);
   std::stable_sort(out.begin(), out.end(),
                    [](const HostOffer &a, const HostOffer &b) {
@@ -130,7 +130,7 @@
                                             : capacity * reclaimableShare;
   std::optional<HostMix> best;
   for (double level = 0; step > 0 && level <= capacity + step; level += step) {
-    HostMix mix = fillToLevel(reclaimable, level, capacity, most);
+    HostMix mix = fillZones(reclaimable, level, capacity, most);
     if (!completeOnDemand(mix, onDemand, capacity))
       continue;
     trim(mix, capacity);
@@ -143,7 +143,7 @@
     return *best;
   }
   // What there is, for want of better.
-  HostMix all = fillToLevel(reclaimable, capacity, 2 * capacity, capacity);
+  HostMix all = fillZones(reclaimable, capacity, 2 * capacity, capacity);
   completeOnDemand(all, onDemand, capacity);
   return all;
 }
--- a/Libraries/LibDecision/HostMix.h
+++ b/Libraries/LibDecision/HostMix.h
@@ -22,7 +22,7 @@
   /// Replicas' worth of work that the host carries within the latency target.
   double Capacity = 1;
   /// The most hosts that can be had of it.
-  int MostHosts = std::numeric_limits<int>::max();
+  int MaxHosts = std::numeric_limits<int>::max();
 
   /// Whether both name the same thing to buy, at whatever price.
   bool isSameAs(const HostOffer &other) const {
--- a/Libraries/LibDecision/MoverPlan.cpp
+++ b/Libraries/LibDecision/HostPlan.cpp
@@ -1,4 +1,4 @@
-#include "LibDecision/MoverPlan.h"
+#include "LibDecision/HostPlan.h"
 #include <cstdio>
 
 namespace sorrelbay {
@@ -22,7 +22,7 @@
   return true;
 }
 
-HostMix mixOf(const MoverPlan &plan) {
+HostMix mixOf(const HostPlan &plan) {
   HostMix mix;
   for (const Slot &slot : plan.Slots) {
     if (!slot.IsWanted)
--- a/Libraries/LibDecision/MoverPlan.h
+++ b/Libraries/LibDecision/HostPlan.h
@@ -45,7 +45,7 @@
 
 /// What the movers have decided to have. Kept in one object of the object API
 /// and only changed by conditional update, before any order follows from it.
-struct MoverPlan {
+struct HostPlan {
   std::vector<Slot> Slots;
 };
 
@@ -59,6 +59,6 @@
 };
 
 /// The hosts that the plan wants, as a mix.
-HostMix mixOf(const MoverPlan &plan);
+HostMix mixOf(const HostPlan &plan);
 
 } // namespace sorrelbay
--- a/Libraries/LibDecision/Mover.cpp
+++ b/Libraries/LibDecision/HostPlanner.cpp
@@ -1,4 +1,4 @@
-#include "LibDecision/Mover.h"
+#include "LibDecision/HostPlanner.h"
 #include "LibBase/Invariant.h"
 #include <algorithm>
 #include <functional>
@@ -27,9 +27,9 @@
 }
 
 /// The plan's wanted slots, but for those left out.
-MoverPlan onlyIf(const MoverPlan &plan,
-                 const std::function<bool(const Slot &)> &holds) {
-  MoverPlan out;
+HostPlan onlyIf(const HostPlan &plan,
+                const std::function<bool(const Slot &)> &holds) {
+  HostPlan out;
   for (const Slot &it : plan.Slots)
     if (it.IsWanted && holds(it))
       out.Slots.push_back(it);
@@ -37,7 +37,7 @@
 }
 
 /// Prices move; a slot is worth what it costs now.
-void takePrices(MoverPlan &plan, const std::vector<HostOffer> &offers) {
+void takePrices(HostPlan &plan, const std::vector<HostOffer> &offers) {
   for (Slot &slot : plan.Slots)
     for (const HostOffer &it : offers)
       if (it.isSameAs(slot.From))
@@ -52,7 +52,7 @@
 /// The next token of a slot whose host is gone for good, or of a new slot. A
 /// token is never wanted again once it was not, so that orders from an old
 /// look can't bring back or take away what is wanted now.
-Slot &freeSlot(MoverPlan &plan, const MoverView &view) {
+Slot &freeSlot(HostPlan &plan, const HostPlannerInput &view) {
   for (Slot &it : plan.Slots) {
     const CloudHost *host = it.IsWanted ? nullptr : hostOf(it, view.Hosts);
     const bool isTaken =
@@ -75,7 +75,7 @@
 
 } // namespace
 
-void Mover::noteRefused(const HostOffer &offer, Instant now) {
+void HostPlanner::noteRefused(const HostOffer &offer, Instant now) {
   for (Refusal &it : Refusals) {
     if (!it.Offer.isSameAs(offer))
       continue;
@@ -85,14 +85,14 @@
   Refusals.push_back({offer, now + Settings.RefusalPause});
 }
 
-bool Mover::isRefused(const HostOffer &offer) const {
+bool HostPlanner::isRefused(const HostOffer &offer) const {
   return std::any_of(Refusals.begin(), Refusals.end(), [&](const Refusal &it) {
     return it.Offer.isSameAs(offer);
   });
 }
 
-bool Mover::isUrgent(const MoverPlan &plan, const MoverView &view,
-                     Instant now) const {
+bool HostPlanner::isUrgent(const HostPlan &plan, const HostPlannerInput &view,
+                           Instant now) const {
   if (now + 2 * Settings.StartTime < view.Deadline)
     return false;
   double capacity = 0;
@@ -102,10 +102,10 @@
   return capacity < view.Capacity;
 }
 
-std::vector<HostOffer> Mover::offersFor(const MoverPlan &plan,
-                                        const MoverView &view,
-                                        Instant now) const {
-  const MoverPlan held = onlyIf(
+std::vector<HostOffer> HostPlanner::offersFor(const HostPlan &plan,
+                                              const HostPlannerInput &view,
+                                              Instant now) const {
+  const HostPlan held = onlyIf(
       plan, [&](const Slot &it) { return hostOf(it, view.Hosts) != nullptr; });
   const HostMix heldMix = mixOf(held);
   // Near the deadline a second reclaimable offer may be refused like the first.
@@ -113,14 +113,14 @@
   std::vector<HostOffer> out;
   for (HostOffer it : view.Offers) {
     if (isRefused(it) || (isOnDemandOnly && it.IsReclaimable))
-      it.MostHosts = std::min(it.MostHosts, countOf(heldMix, it));
+      it.MaxHosts = std::min(it.MaxHosts, countOf(heldMix, it));
     out.push_back(it);
   }
   return out;
 }
 
-void Mover::dropLost(MoverDecision &decision, const MoverView &view,
-                     Instant now) const {
+void HostPlanner::retireLost(HostPlannerDecision &decision,
+                             const HostPlannerInput &view, Instant now) const {
   for (Slot &slot : decision.Plan.Slots) {
     if (!slot.IsWanted)
       continue;
@@ -136,8 +136,9 @@
   }
 }
 
-void Mover::addMissing(MoverDecision &decision, const HostMix &wanted,
-                       const MoverView &view) const {
+void HostPlanner::addMissing(HostPlannerDecision &decision,
+                             const HostMix &wanted,
+                             const HostPlannerInput &view) const {
   const HostMix current = mixOf(decision.Plan);
   for (const HostCount &it : wanted)
     for (int n = countOf(current, it.Offer); n < it.Hosts; ++n) {
@@ -148,8 +149,10 @@
 
 // A host is given up only while those that serve now do without it, so that a
 // cheaper mix first stands and then replaces the old one.
-void Mover::retireSurplus(MoverDecision &decision, const HostMix &wanted,
-                          const MoverView &view, Instant now) const {
+void HostPlanner::retireSurplus(HostPlannerDecision &decision,
+                                const HostMix &wanted,
+                                const HostPlannerInput &view,
+                                Instant now) const {
   std::vector<HostCount> left = wanted;
   for (Slot &slot : decision.Plan.Slots) {
     if (!slot.IsWanted)
@@ -172,8 +175,8 @@
   }
 }
 
-void Mover::addOrders(MoverDecision &decision, const MoverView &view,
-                      Instant now) const {
+void HostPlanner::addOrders(HostPlannerDecision &decision,
+                            const HostPlannerInput &view, Instant now) const {
   for (const Slot &it : decision.Plan.Slots)
     if (it.IsWanted && hostOf(it, view.Hosts) == nullptr)
       decision.Creates.push_back({it.Token, it.From});
@@ -191,24 +194,25 @@
   }
 }
 
-MoverDecision Mover::decide(const MoverPlan &plan, const MoverView &view,
-                            Instant now) {
+HostPlannerDecision HostPlanner::decide(const HostPlan &plan,
+                                        const HostPlannerInput &view,
+                                        Instant now) {
   Refusals.erase(
       std::remove_if(Refusals.begin(), Refusals.end(),
                      [now](const Refusal &it) { return it.Until <= now; }),
       Refusals.end());
-  MoverDecision decision;
+  HostPlannerDecision decision;
   decision.Plan = plan;
   takePrices(decision.Plan, view.Offers);
-  dropLost(decision, view, now);
+  retireLost(decision, view, now);
   const HostMix wanted = cheapestMix(offersFor(decision.Plan, view, now),
                                      view.Capacity, Settings.ReclaimableShare);
   const HostMix current = mixOf(decision.Plan);
-  const bool doesStill =
+  const bool isStillSuitable =
       capacityAfterZoneLoss(current) >= view.Capacity &&
       static_cast<double>(costOf(current)) <=
-          static_cast<double>(costOf(wanted)) * (1 + Settings.SavingToMove);
-  if (!doesStill) {
+          static_cast<double>(costOf(wanted)) * (1 + Settings.MinSavingShare);
+  if (!isStillSuitable) {
     addMissing(decision, wanted, view);
     retireSurplus(decision, wanted, view, now);
   }
--- a/Libraries/LibDecision/Mover.h
+++ b/Libraries/LibDecision/HostPlanner.h
@@ -2,7 +2,7 @@
 
 #include "LibBase/Time.h"
 #include "LibDecision/HostMix.h"
-#include "LibDecision/MoverPlan.h"
+#include "LibDecision/HostPlan.h"
 #include <cstdint>
 #include <string>
 #include <vector>
@@ -10,7 +10,7 @@
 namespace sorrelbay {
 
 /// What the mover sees when it decides.
-struct MoverView {
+struct HostPlannerInput {
   /// The generation of the bundle in force.
   std::uint64_t Generation = 0;
   std::vector<HostOffer> Offers;
@@ -26,13 +26,13 @@
   HostOffer From;
 };
 
-struct MoverSettings {
+struct HostPlannerSettings {
   /// From an order to a host that serves.
   Duration StartTime = minutes(3);
   /// How long an offer that was refused is passed over.
   Duration RefusalPause = minutes(5);
   /// A mix that does is kept until another costs less by this share.
-  double SavingToMove = 0.1;
+  double MinSavingShare = 0.1;
   /// How long a host that is no longer wanted works off what it has.
   Duration DrainTime = minutes(2);
   /// The highest share of the capacity on reclaimable hosts.
@@ -40,8 +40,8 @@
 };
 
 /// What follows from one look.
-struct MoverDecision {
-  MoverPlan Plan;
+struct HostPlannerDecision {
+  HostPlan Plan;
   /// Whether the plan differs from the one given; it must then be stored before
   /// the orders are carried out, and if another mover's was stored meanwhile
   /// they must not be.
@@ -54,12 +54,13 @@
 /// Decides what hosts to have and what to order. Every look starts from the
 /// stored plan and the cloud's list, not from what was ordered before, so that
 /// a lost reply, a refused start and a change of movers need nothing special.
-class Mover {
+class HostPlanner {
 public:
-  explicit Mover(MoverSettings settings = {}) : Settings(settings) {}
+  explicit HostPlanner(HostPlannerSettings settings = {})
+      : Settings(settings) {}
 
-  MoverDecision decide(const MoverPlan &plan, const MoverView &view,
-                       Instant now);
+  HostPlannerDecision decide(const HostPlan &plan, const HostPlannerInput &view,
+                             Instant now);
   /// The cloud refused to start a host of that offer.
   void noteRefused(const HostOffer &offer, Instant now);
 
@@ -70,21 +71,22 @@
   };
 
   bool isRefused(const HostOffer &offer) const;
-  bool isUrgent(const MoverPlan &plan, const MoverView &view,
+  bool isUrgent(const HostPlan &plan, const HostPlannerInput &view,
                 Instant now) const;
   /// The offers with how many hosts each can still bring.
-  std::vector<HostOffer> offersFor(const MoverPlan &plan, const MoverView &view,
+  std::vector<HostOffer> offersFor(const HostPlan &plan,
+                                   const HostPlannerInput &view,
                                    Instant now) const;
-  void dropLost(MoverDecision &decision, const MoverView &view,
-                Instant now) const;
-  void addMissing(MoverDecision &decision, const HostMix &wanted,
-                  const MoverView &view) const;
-  void retireSurplus(MoverDecision &decision, const HostMix &wanted,
-                     const MoverView &view, Instant now) const;
-  void addOrders(MoverDecision &decision, const MoverView &view,
+  void retireLost(HostPlannerDecision &decision, const HostPlannerInput &view,
+                  Instant now) const;
+  void addMissing(HostPlannerDecision &decision, const HostMix &wanted,
+                  const HostPlannerInput &view) const;
+  void retireSurplus(HostPlannerDecision &decision, const HostMix &wanted,
+                     const HostPlannerInput &view, Instant now) const;
+  void addOrders(HostPlannerDecision &decision, const HostPlannerInput &view,
                  Instant now) const;
 
-  MoverSettings Settings;
+  HostPlannerSettings Settings;
   std::vector<Refusal> Refusals;
 };
 
--- a/Libraries/LibDecision/MoverLease.cpp
+++ b/Libraries/LibDecision/LeaderLease.cpp
@@ -1,38 +1,38 @@
-#include "LibDecision/MoverLease.h"
+#include "LibDecision/LeaderLease.h"
 #include <utility>
 
 namespace sorrelbay {
 
 // A lease is read, or renewed, so many times in a term.
-static constexpr int LooksPerTerm = 3;
+static constexpr int ReadsPerTerm = 3;
 
-MoverLease::MoverLease(IncarnationId self, MoverLeaseSettings settings)
+LeaderLease::LeaderLease(IncarnationId self, LeaderLeaseSettings settings)
     : Self(std::move(self)), Settings(settings) {}
 
-Duration MoverLease::usableTerm() const {
+Duration LeaderLease::usableTerm() const {
   return fromSeconds(toSeconds(Settings.Term) * (1 - Settings.Margin));
 }
 
-bool MoverLease::isHeld(Instant now) const {
+bool LeaderLease::isHeld(Instant now) const {
   return HasRead && Seen.Holder == Self && now < HeldUntil;
 }
 
-bool MoverLease::mayOrderUnfenced(Instant now) const {
+bool LeaderLease::mayCommandUnfenced(Instant now) const {
   return isHeld(now) && now >= UnfencedFrom;
 }
 
-LeaseStep MoverLease::step(Instant now) const {
+LeaseStep LeaderLease::step(Instant now) const {
   if (MustRead || !HasRead)
     return LeaseStep::Read;
   if (isHeld(now))
     return now >= RenewAt ? LeaseStep::Write : LeaseStep::None;
-  if (Seen.Version == AbandonedVersion || now >= SeenSince + Settings.Term)
+  if (Seen.Version == ReleasedVersion || now >= SeenSince + Settings.Term)
     return LeaseStep::Write;
-  return now >= ReadAt + Settings.Term / LooksPerTerm ? LeaseStep::Read
+  return now >= ReadAt + Settings.Term / ReadsPerTerm ? LeaseStep::Read
                                                       : LeaseStep::None;
 }
 
-void MoverLease::noteRead(const LeaseState &state, Instant now) {
+void LeaderLease::noteRead(const LeaseState &state, Instant now) {
   // One's own write whose reply was lost.
   if (state.Holder == Self && state.Version == Seen.Version + 1 &&
       UnknownSentAt != Instant{}) {
@@ -48,9 +48,9 @@
   ReadAt = now;
 }
 
-void MoverLease::noteAbandoned() { AbandonedVersion = Seen.Version; }
+void LeaderLease::noteReleased() { ReleasedVersion = Seen.Version; }
 
-void MoverLease::noteTold(const LeaseState &state, Instant now) {
+void LeaderLease::noteReported(const LeaseState &state, Instant now) {
   if (state.Version <= Seen.Version || UnknownSentAt != Instant{})
     return;
   Seen = state;
@@ -60,8 +60,8 @@
   ReadAt = now;
 }
 
-void MoverLease::noteWritten(std::uint64_t version, Instant sentAt,
-                             Instant now) {
+void LeaderLease::noteWritten(std::uint64_t version, Instant sentAt,
+                              Instant now) {
   const bool wasHeld = isHeld(now);
   const bool hadHolder = Seen.Version != 0;
   if (!wasHeld)
@@ -71,16 +71,16 @@
   MustRead = false;
   UnknownSentAt = {};
   HeldUntil = sentAt + usableTerm();
-  RenewAt = sentAt + Settings.Term / LooksPerTerm;
+  RenewAt = sentAt + Settings.Term / ReadsPerTerm;
 }
 
-void MoverLease::noteConflict(Instant /*now*/) {
+void LeaderLease::noteConflict(Instant /*now*/) {
   HeldUntil = {};
   UnknownSentAt = {};
   MustRead = true;
 }
 
-void MoverLease::noteUnknown(Instant sentAt, Instant /*now*/) {
+void LeaderLease::noteUnknown(Instant sentAt, Instant /*now*/) {
   UnknownSentAt = sentAt;
   MustRead = true;
 }
--- a/Libraries/LibDecision/MoverLease.h
+++ b/Libraries/LibDecision/LeaderLease.h
@@ -14,7 +14,7 @@
   std::uint64_t Version = 0;
 };
 
-struct MoverLeaseSettings {
+struct LeaderLeaseSettings {
   Duration Term = seconds(10);
   /// An order that has not reached its engine by then never does.
   Duration OrderTimeout = seconds(5);
@@ -31,9 +31,9 @@
 /// The holder counts its term from before it sent the write, so it stops before
 /// anybody else starts. It is for efficiency and for the orders that can't be
 /// made idempotent, not for what must never happen twice.
-class MoverLease {
+class LeaderLease {
 public:
-  MoverLease(IncarnationId self, MoverLeaseSettings settings = {});
+  LeaderLease(IncarnationId self, LeaderLeaseSettings settings = {});
 
   LeaseStep step(Instant now) const;
   /// The version that the next write must expect.
@@ -43,12 +43,12 @@
   void noteRead(const LeaseState &state, Instant now);
   /// The holder of the stored lease is an earlier process of this host and
   /// holds it no more: there is no term to wait for.
-  void noteAbandoned();
+  void noteReleased();
   /// The holder has reported that it wrote that version. From now on it counts
   /// as seen: a term has not to be waited for anew when the holder goes, or
   /// when the store was away. A write still expects that version, so that one
   /// which was renewed meanwhile isn't taken.
-  void noteTold(const LeaseState &state, Instant now);
+  void noteReported(const LeaseState &state, Instant now);
   /// The write that was sent then took effect as that version.
   void noteWritten(std::uint64_t version, Instant sentAt, Instant now);
   /// Somebody else wrote first.
@@ -64,7 +64,7 @@
   /// Whether orders may go to engines that take any. A new holder first waits
   /// out the longest time that an order of the last one may still be under way;
   /// it would undo the new one's.
-  bool mayOrderUnfenced(Instant now) const;
+  bool mayCommandUnfenced(Instant now) const;
   /// From when on what engines say of their levels counts as read back.
   Instant unfencedFrom() const { return UnfencedFrom; }
 
@@ -72,10 +72,10 @@
   Duration usableTerm() const;
 
   IncarnationId Self;
-  MoverLeaseSettings Settings;
+  LeaderLeaseSettings Settings;
   LeaseState Seen;
   /// Nobody holds the lease of that version; 0 is before there was one.
-  std::uint64_t AbandonedVersion = 0;
+  std::uint64_t ReleasedVersion = 0;
   bool HasRead = false;
   bool MustRead = true;
   Instant SeenSince{};
--- a/Libraries/LibDecision/LeavingUpstreams.cpp
+++ b/Libraries/LibDecision/LeavingUpstreams.cpp
@@ -8,41 +8,44 @@
   goneAt = std::max(goneAt, notice.GoneAt);
 }
 
-void LeavingUpstreams::noteStays(const UpstreamId &upstream, Instant askedAt) {
-  Instant &staysAt = StaysAt[upstream];
+void LeavingUpstreams::noteStayConfirmed(const UpstreamId &upstream,
+                                         Instant askedAt) {
+  Instant &staysAt = StayConfirmedAt[upstream];
   staysAt = std::max(staysAt, askedAt);
 }
 
-void LeavingUpstreams::notePeerHeard(Instant askedAt) {
+void LeavingUpstreams::notePeerAnswered(Instant askedAt) {
   PeerHeardAt = std::max(PeerHeardAt, askedAt);
 }
 
 // A thread that answers a call may run before the one that ticks once the
 // daemon is resumed; so the gap up to now counts, too.
 Instant LeavingUpstreams::resumedAt(Instant now) const {
-  return now - LastTick > Settings.PauseLimit ? now : ResumedAt;
+  return now - LastTick > Settings.MaxTickGap ? now : ResumedAt;
 }
 
 void LeavingUpstreams::noteTick(Instant now) {
   ResumedAt = resumedAt(now);
   LastTick = now;
   for (auto it = GoneAt.begin(); it != GoneAt.end();)
-    it = it->second + Settings.KeptAfterGone < now ? GoneAt.erase(it)
-                                                   : std::next(it);
-  for (auto it = StaysAt.begin(); it != StaysAt.end();)
-    it = it->second + Settings.KeptAfterGone < now ? StaysAt.erase(it)
-                                                   : std::next(it);
+    it = it->second + Settings.RetentionAfterGone < now ? GoneAt.erase(it)
+                                                        : std::next(it);
+  for (auto it = StayConfirmedAt.begin(); it != StayConfirmedAt.end();)
+    it = it->second + Settings.RetentionAfterGone < now
+             ? StayConfirmedAt.erase(it)
+             : std::next(it);
 }
 
 bool LeavingUpstreams::isLeaving(const UpstreamId &upstream,
                                  Instant now) const {
   const auto found = GoneAt.find(upstream);
-  return found != GoneAt.end() && now <= found->second + Settings.KeptAfterGone;
+  return found != GoneAt.end() &&
+         now <= found->second + Settings.RetentionAfterGone;
 }
 
 bool LeavingUpstreams::isViewFresh(Instant now) const {
   const Instant resumed = resumedAt(now);
-  return PeerHeardAt >= resumed || now >= resumed + Settings.PeerPatience;
+  return PeerHeardAt >= resumed || now >= resumed + Settings.PeerAnswerTimeout;
 }
 
 NewWork LeavingUpstreams::newWorkFor(const UpstreamId &upstream,
@@ -52,9 +55,10 @@
   if (!isViewFresh(now))
     return NewWork::AskPeers;
   const Instant resumed = resumedAt(now);
-  const auto stays = StaysAt.find(upstream);
-  const bool isAnswered = stays != StaysAt.end() && stays->second >= resumed &&
-                          stays->second + Settings.AnswerGoodFor >= now;
+  const auto stays = StayConfirmedAt.find(upstream);
+  const bool isAnswered =
+      stays != StayConfirmedAt.end() && stays->second >= resumed &&
+      stays->second + Settings.StayConfirmationLifetime >= now;
   return isAnswered ? NewWork::Allowed : NewWork::AskUpstream;
 }
 
--- a/Libraries/LibDecision/LeavingUpstreams.h
+++ b/Libraries/LibDecision/LeavingUpstreams.h
@@ -35,15 +35,15 @@
 
 struct LeavingSettings {
   /// How long an upstream's word that it stays is good for.
-  Duration AnswerGoodFor = seconds(3);
+  Duration StayConfirmationLifetime = seconds(3);
   /// A gap between two ticks above this means that the daemon was paused.
-  Duration PauseLimit = seconds(1);
+  Duration MaxTickGap = seconds(1);
   /// After a pause, how long a peer's answer is waited for at most; with all of
   /// them down the upstream's own word has to do. Zero without peers.
-  Duration PeerPatience = seconds(3);
+  Duration PeerAnswerTimeout = seconds(3);
   /// How long a notice is kept after the host should be gone, since the host
   /// list lags and would show the upstream as live.
-  Duration KeptAfterGone = minutes(2);
+  Duration RetentionAfterGone = minutes(2);
 };
 
 /// Which upstreams leave. Every source only ever adds to it, so that a late,
@@ -60,10 +60,10 @@
   /// The upstream said that it stays, in answer to a request that was sent at
   /// that time. The time of sending counts: an answer that lay in a socket
   /// while the daemon was paused tells of before the pause.
-  void noteStays(const UpstreamId &upstream, Instant askedAt);
+  void noteStayConfirmed(const UpstreamId &upstream, Instant askedAt);
   /// A peer whose own view is fresh has sent all its notices, in answer to a
   /// request that was sent at that time. The host list does not do: it lags.
-  void notePeerHeard(Instant askedAt);
+  void notePeerAnswered(Instant askedAt);
   /// To be called several times within the pause limit.
   void noteTick(Instant now);
 
@@ -80,7 +80,7 @@
 
   LeavingSettings Settings;
   std::map<UpstreamId, Instant> GoneAt;
-  std::unordered_map<UpstreamId, Instant> StaysAt;
+  std::unordered_map<UpstreamId, Instant> StayConfirmedAt;
   Instant PeerHeardAt{};
   Instant LastTick{};
   /// The end of the last pause; a start counts as one.
--- a/Libraries/LibDecision/LedgerCodec.cpp
+++ b/Libraries/LibDecision/LedgerCodec.cpp
@@ -30,7 +30,7 @@
 static LedgerEntry toEntry(const Json &fields) {
   LedgerEntry entry;
   entry.Call.Team = TeamId(fields.at(0).get<std::string>());
-  entry.Call.Key = CallKey(fields.at(1).get<std::string>());
+  entry.Call.Key = IdempotencyKey(fields.at(1).get<std::string>());
   entry.State = toState(fields.at(2).get<int>());
   entry.Attempt = fields.at(3).get<CallAttempt>();
   entry.ClosedThrough = fields.at(4).get<CallAttempt>();
--- a/Libraries/LibDecision/LedgerEntry.h
+++ b/Libraries/LibDecision/LedgerEntry.h
@@ -12,7 +12,7 @@
 /// One call as its caller names it: keys are unique within a team.
 struct CallId {
   TeamId Team;
-  CallKey Key;
+  IdempotencyKey Key;
 
   friend bool operator==(const CallId &a, const CallId &b) {
     return std::tie(a.Team, a.Key) == std::tie(b.Team, b.Key);
--- a/Libraries/LibDecision/PeerChoice.cpp
+++ b/Libraries/LibDecision/PeerChoice.cpp
@@ -58,9 +58,9 @@
   }
   chosen.push_back(nextInOrder(self, others));
   const std::vector<std::vector<HostId>> zones = rankByZone(self, others);
-  for (std::size_t round = 0; chosen.size() < ChosenPeers; ++round)
+  for (std::size_t round = 0; chosen.size() < SelectedPeerCount; ++round)
     for (const std::vector<HostId> &hosts : zones)
-      if (round < hosts.size() && chosen.size() < ChosenPeers &&
+      if (round < hosts.size() && chosen.size() < SelectedPeerCount &&
           hosts[round] != chosen.front())
         chosen.push_back(hosts[round]);
   return chosen;
--- a/Libraries/LibDecision/PeerChoice.h
+++ b/Libraries/LibDecision/PeerChoice.h
@@ -15,7 +15,7 @@
 constexpr std::size_t FullMeshLimit = 16;
 /// Beyond it each chooses so many; connections go both ways, so that a daemon
 /// has about twice as many.
-constexpr std::size_t ChosenPeers = 8;
+constexpr std::size_t SelectedPeerCount = 8;
 
 /// The peers that a daemon keeps connections to, out of all others. Beyond the
 /// full mesh, the first one is the next in the order of ids, which alone ties
--- a/Libraries/LibDecision/PeerKnowledge.cpp
+++ b/Libraries/LibDecision/PeerKnowledge.cpp
@@ -70,8 +70,8 @@
   return it == counts->second.end() ? EvidenceCount{} : it->second;
 }
 
-static RolloutKnowledge newsFor(const RolloutKnowledge &mine,
-                                const RolloutKnowledge &theirs) {
+static RolloutKnowledge deltaFor(const RolloutKnowledge &mine,
+                                 const RolloutKnowledge &theirs) {
   RolloutKnowledge news;
   // Of two vetoes or stages the join alone says which one counts, so it is
   // asked whether theirs would change.
@@ -96,7 +96,7 @@
   return news;
 }
 
-PeerKnowledge newsFor(const PeerKnowledge &mine, const PeerKnowledge &theirs) {
+PeerKnowledge deltaFor(const PeerKnowledge &mine, const PeerKnowledge &theirs) {
   PeerKnowledge news;
   if (theirs.Bundle < mine.Bundle)
     news.Bundle = mine.Bundle;
@@ -110,7 +110,7 @@
     if (it == theirs.Hosts.end() || isNewer(report, it->second))
       news.Hosts.emplace(host, report);
   }
-  news.Rollout = newsFor(mine.Rollout, theirs.Rollout);
+  news.Rollout = deltaFor(mine.Rollout, theirs.Rollout);
   return news;
 }
 
@@ -136,7 +136,7 @@
   return out;
 }
 
-void forgetLeft(PeerKnowledge &knowledge, Instant at) {
+void eraseExpiredLeaving(PeerKnowledge &knowledge, Instant at) {
   for (auto it = knowledge.Leaving.begin(); it != knowledge.Leaving.end();)
     it = it->second < at ? knowledge.Leaving.erase(it) : std::next(it);
 }
--- a/Libraries/LibDecision/PeerKnowledge.h
+++ b/Libraries/LibDecision/PeerKnowledge.h
@@ -62,7 +62,7 @@
 
 /// What a daemon that knows `theirs` lacks of `mine`; merged there, it makes
 /// the two equal in all that is mine.
-PeerKnowledge newsFor(const PeerKnowledge &mine, const PeerKnowledge &theirs);
+PeerKnowledge deltaFor(const PeerKnowledge &mine, const PeerKnowledge &theirs);
 
 bool isEmpty(const PeerKnowledge &knowledge);
 bool isEmpty(const RolloutKnowledge &knowledge);
@@ -75,6 +75,6 @@
 
 /// Drops the upstreams whose time is over. The same mark may come back from a
 /// peer whose clock is behind, and is dropped again.
-void forgetLeft(PeerKnowledge &knowledge, Instant at);
+void eraseExpiredLeaving(PeerKnowledge &knowledge, Instant at);
 
 } // namespace sorrelbay
--- a/Libraries/LibDecision/Placement.cpp
+++ b/Libraries/LibDecision/Placement.cpp
@@ -24,8 +24,8 @@
 Placement::Placement(PlacementSettings settings)
     : Settings(settings), Prefixes(settings.MaxConversations) {}
 
-bool Placement::mayTake(const UpstreamState &upstream,
-                        const PlacementRequest &request) const {
+bool Placement::isEligible(const UpstreamState &upstream,
+                           const PlacementRequest &request) const {
   return !upstream.IsLeaving && upstream.OfService == request.ForService &&
          (request.AllowedVersion.empty() ||
           upstream.OfVersion == request.AllowedVersion) &&
@@ -70,21 +70,22 @@
   const Load load = loadOf(upstream, now);
   const std::int64_t cached =
       std::min(request.PromptTokens,
-               Prefixes.tokensAt(upstream.Id, request.Conversation));
+               Prefixes.cachedTokensAt(upstream.Id, request.Conversation));
   const double rate = Settings.PromptTokensPerSecond;
   const double compute =
       static_cast<double>(request.PromptTokens - cached) / rate;
   double wait = load.BacklogTokens / rate + compute +
                 load.OpenCalls * toSeconds(Settings.WaitPerOpenCall);
-  const double tooMany = load.OpenCalls + 1 - Settings.PlacesPerUpstream;
+  const double tooMany =
+      load.OpenCalls + 1 - Settings.ConcurrentCallsPerUpstream;
   if (tooMany > 0)
-    wait +=
-        tooMany * toSeconds(Settings.PlaceHeldFor) / Settings.PlacesPerUpstream;
+    wait += tooMany * toSeconds(Settings.MeanCallTime) /
+            Settings.ConcurrentCallsPerUpstream;
   if (upstream.InZone != request.OwnZone)
-    wait += 2 * toSeconds(Settings.ZoneDistance);
+    wait += 2 * toSeconds(Settings.CrossZoneLatency);
   double cost = wait + (Settings.ComputeWeight - 1) * compute;
   if (&upstream == home)
-    cost -= Settings.ComputeWeight * Settings.HomeShare * compute;
+    cost -= Settings.ComputeWeight * Settings.AssumedCachedShare * compute;
   return {&upstream, fromSeconds(wait), cost, cached};
 }
 
@@ -93,14 +94,14 @@
 const UpstreamState *
 Placement::homeOf(const std::vector<UpstreamState> &upstreams,
                   const PlacementRequest &request) const {
-  if (request.Conversation.empty() || Prefixes.baseOf(request.Conversation))
+  if (request.Conversation.empty() || Prefixes.holderOf(request.Conversation))
     return nullptr;
   const std::uint64_t key = stableHash(request.Conversation.text());
   const UpstreamState *home = nullptr;
   std::uint64_t best = 0;
   for (const UpstreamState &it : upstreams) {
     const std::uint64_t score = stableHash(it.Id.text(), key);
-    if (!mayTake(it, request) || (home != nullptr && score < best))
+    if (!isEligible(it, request) || (home != nullptr && score < best))
       continue;
     home = &it;
     best = score;
@@ -114,8 +115,8 @@
   for (const Candidate &it : candidates)
     best = std::min(best, it.Cost);
   const double limit =
-      best + std::max(toSeconds(Settings.NearEqual),
-                      std::abs(best) * Settings.NearEqualShare);
+      best + std::max(toSeconds(Settings.CostTolerance),
+                      std::abs(best) * Settings.CostToleranceShare);
   std::vector<std::size_t> near;
   for (std::size_t n = 0; n < candidates.size(); ++n)
     if (candidates[n].Cost <= limit)
@@ -132,7 +133,7 @@
   const UpstreamState *home = homeOf(upstreams, request);
   std::vector<Candidate> candidates;
   for (const UpstreamState &it : upstreams)
-    if (mayTake(it, request))
+    if (isEligible(it, request))
       candidates.push_back(candidateOf(it, request, home, now));
   if (candidates.empty())
     return {};
--- a/Libraries/LibDecision/Placement.h
+++ b/Libraries/LibDecision/Placement.h
@@ -60,21 +60,21 @@
   /// What each call that is open at an upstream adds to the next one's wait.
   Duration WaitPerOpenCall = milliseconds(1);
   /// Calls that an upstream works on at once; one more waits for a place.
-  int PlacesPerUpstream = 64;
+  int ConcurrentCallsPerUpstream = 64;
   /// How long a call holds its place.
-  Duration PlaceHeldFor = seconds(5);
+  Duration MeanCallTime = seconds(5);
   /// One way, to an upstream in another zone.
-  Duration ZoneDistance = microseconds(500);
+  Duration CrossZoneLatency = microseconds(500);
   /// Upstreams within this much of the best one's cost are near-equals; the
   /// larger of the two limits counts.
-  Duration NearEqual = milliseconds(5);
-  double NearEqualShare = 0.1;
+  Duration CostTolerance = milliseconds(5);
+  double CostToleranceShare = 0.1;
   /// What a prompt token that must be computed costs, as a multiple of its own
   /// time: it delays the calls behind this one, too.
   double ComputeWeight = 2;
   /// The share of a prompt that is assumed to be cached at the conversation's
   /// home when this daemon has seen no turn of it yet.
-  double HomeShare = 0.3;
+  double AssumedCachedShare = 0.3;
   std::size_t MaxConversations = 20000;
   /// Sends that are remembered for each upstream until a report covers them.
   std::size_t MaxRememberedSends = 256;
@@ -127,8 +127,8 @@
     std::int64_t CachedTokens = 0;
   };
 
-  bool mayTake(const UpstreamState &upstream,
-               const PlacementRequest &request) const;
+  bool isEligible(const UpstreamState &upstream,
+                  const PlacementRequest &request) const;
   Load loadOf(const UpstreamState &upstream, Instant now) const;
   Candidate candidateOf(const UpstreamState &upstream,
                         const PlacementRequest &request,
--- a/Libraries/LibDecision/PrefixTable.cpp
+++ b/Libraries/LibDecision/PrefixTable.cpp
@@ -4,13 +4,14 @@
 namespace sorrelbay {
 
 const UpstreamId *
-PrefixTable::baseOf(const ConversationKey &conversation) const {
+PrefixTable::holderOf(const ConversationKey &conversation) const {
   const auto found = ByKey.find(conversation);
   return found == ByKey.end() ? nullptr : &found->second->Base;
 }
 
-std::int64_t PrefixTable::tokensAt(const UpstreamId &upstream,
-                                   const ConversationKey &conversation) const {
+std::int64_t
+PrefixTable::cachedTokensAt(const UpstreamId &upstream,
+                            const ConversationKey &conversation) const {
   const auto found = ByKey.find(conversation);
   if (found == ByKey.end() || found->second->Base != upstream)
     return 0;
--- a/Libraries/LibDecision/PrefixTable.h
+++ b/Libraries/LibDecision/PrefixTable.h
@@ -22,11 +22,11 @@
 
   /// The upstream that last worked on the conversation, or null. Counts as no
   /// use.
-  const UpstreamId *baseOf(const ConversationKey &conversation) const;
+  const UpstreamId *holderOf(const ConversationKey &conversation) const;
   /// Tokens of the conversation's prefix that the upstream is believed to
   /// hold; 0 if it is not the conversation's base.
-  std::int64_t tokensAt(const UpstreamId &upstream,
-                        const ConversationKey &conversation) const;
+  std::int64_t cachedTokensAt(const UpstreamId &upstream,
+                              const ConversationKey &conversation) const;
   /// The upstream has computed that many tokens of the conversation; it
   /// becomes its base.
   void note(const UpstreamId &upstream, const ConversationKey &conversation,
--- a/Libraries/LibDecision/RecoveryPlan.cpp
+++ b/Libraries/LibDecision/RecoveryPlan.cpp
@@ -10,9 +10,9 @@
 /// once it has outgrown the estimate.
 static constexpr double OutgrownRemainder = 0.25;
 /// How long an engine is avoided after it first failed an answer.
-static constexpr Duration FirstAvoidance = milliseconds(250);
+static constexpr Duration InitialRetryBackoff = milliseconds(250);
 /// Resumes start this much earlier than their estimated prefill time asks for.
-static constexpr double PrefillSafety = 1.5;
+static constexpr double PrefillTimeFactor = 1.5;
 
 RecoveryPlan::RecoveryPlan(RecoverySettings settings) : Settings(settings) {}
 
@@ -45,7 +45,7 @@
   auto it = Answers.find(request);
   if (it == Answers.end())
     return;
-  queueAgain(it->second);
+  requeue(it->second);
   leave(it->second);
   Answers.erase(it);
 }
@@ -60,7 +60,7 @@
   // A second wave: what was on its way there needs another target.
   for (auto &[request, answer] : Answers)
     if (answer.In == Phase::Moving && isLeaving(answer.To))
-      queueAgain(answer);
+      requeue(answer);
   return plan(at);
 }
 
@@ -69,7 +69,7 @@
   for (auto &[request, answer] : Answers) {
     if (answer.At != upstream && answer.To != upstream)
       continue;
-    queueAgain(answer);
+    requeue(answer);
     if (answer.At == upstream)
       leave(answer);
   }
@@ -94,8 +94,8 @@
   auto it = Answers.find(request);
   if (it == Answers.end() || it->second.In != Phase::Moving)
     return {};
-  it->second.IsUnmovable = true;
-  queueAgain(it->second);
+  it->second.HasMoveFailed = true;
+  requeue(it->second);
   return plan(at);
 }
 
@@ -117,7 +117,7 @@
   if (it == Answers.end() || it->second.At != upstream)
     return {};
   Answer &answer = it->second;
-  queueAgain(answer);
+  requeue(answer);
   leave(answer);
   if (loss == AttemptLoss::Upstream || answer.LostAt == upstream) {
     avoid(at, answer, upstream);
@@ -199,8 +199,8 @@
 /// An answer whose engines all fail would else spend its attempts in the few
 /// milliseconds before another engine is listed.
 void RecoveryPlan::avoid(Instant at, Answer &answer, const UpstreamId &id) {
-  Avoidance &entry = answer.Avoided[id];
-  entry.Pause = std::max(FirstAvoidance, entry.Pause * 2);
+  RetryBackoff &entry = answer.Avoided[id];
+  entry.Pause = std::max(InitialRetryBackoff, entry.Pause * 2);
   entry.Until = at + entry.Pause;
 }
 
@@ -238,13 +238,13 @@
   const double remaining =
       std::max(expected - static_cast<double>(answer.Open.TokensSoFar),
                expected * OutgrownRemainder);
-  const Duration needed =
-      fromSeconds(remaining / Settings.TokensPerSecond * Settings.FinishSafety);
+  const Duration needed = fromSeconds(remaining / Settings.TokensPerSecond *
+                                      Settings.FinishTimeFactor);
   return at + needed + Settings.Margin <= leavesAt(answer);
 }
 
 bool RecoveryPlan::isMovable(const Answer &answer) const {
-  return !answer.At.empty() && !answer.IsUnmovable &&
+  return !answer.At.empty() && !answer.HasMoveFailed &&
          Settings.MovesPerSource > 0 && Settings.MovesTogether > 0;
 }
 
@@ -272,7 +272,7 @@
     --Upstreams[answer.At].Prefills;
 }
 
-void RecoveryPlan::queueAgain(Answer &answer) {
+void RecoveryPlan::requeue(Answer &answer) {
   endPrefill(answer);
   releaseTarget(answer);
   answer.In = Phase::Waiting;
@@ -405,7 +405,7 @@
   for (const Answer *it : candidates)
     tokens += static_cast<double>(leastRecomputed(*it));
   const Duration backlog = fromSeconds(
-      PrefillSafety * tokens / (engines * Settings.PrefillTokensPerSecond));
+      PrefillTimeFactor * tokens / (engines * Settings.PrefillTokensPerSecond));
   for (Answer *answer : candidates) {
     if (mayStay(at, *answer, backlog))
       continue;
--- a/Libraries/LibDecision/RecoveryPlan.h
+++ b/Libraries/LibDecision/RecoveryPlan.h
@@ -45,7 +45,7 @@
   Duration Margin = milliseconds(300);
   /// An answer is left to finish in place only if this many times its estimated
   /// remainder fits.
-  double FinishSafety = 1.25;
+  double FinishTimeFactor = 1.25;
 };
 
 /// What is known of an attempt that was lost.
@@ -67,7 +67,7 @@
 };
 
 /// Begin a new attempt there at the next offset, then cancel the old one.
-struct ResumeAt {
+struct AnswerResumption {
   RequestId Request;
   UpstreamId To;
   /// Tokens that the engine is expected to compute again.
@@ -77,7 +77,7 @@
 /// What the owner has to do now. What isn't named stays as it is.
 struct RecoveryActions {
   std::vector<MoveCache> Moves;
-  std::vector<ResumeAt> Resumes;
+  std::vector<AnswerResumption> Resumes;
 };
 
 /// Plans how the open answers of one entry host survive the reclaim of engines.
@@ -116,7 +116,7 @@
   RecoveryActions moved(Instant at, const RequestId &request,
                         std::uint64_t cachedTokens);
   RecoveryActions moveFailed(Instant at, const RequestId &request);
-  /// The first token of the attempt that a ResumeAt asked for has come.
+  /// The first token of the attempt that a AnswerResumption asked for has come.
   RecoveryActions resumed(Instant at, const RequestId &request);
   /// The answer's attempt at that engine failed. Ignored if the answer has been
   /// sent elsewhere meanwhile.
@@ -140,7 +140,7 @@
 
 private:
   enum class Phase { Steady, Waiting, Moving, Resuming };
-  struct Avoidance {
+  struct RetryBackoff {
     Instant Until{};
     Duration Pause{};
   };
@@ -152,11 +152,11 @@
     UpstreamId To;
     Phase In = Phase::Steady;
     /// A move failed and is not tried a second time.
-    bool IsUnmovable = false;
+    bool HasMoveFailed = false;
     /// Where an attempt's connection was lost before its first token.
     UpstreamId LostAt;
     /// Engines that failed this answer, until they are tried again.
-    std::map<UpstreamId, Avoidance> Avoided;
+    std::map<UpstreamId, RetryBackoff> Avoided;
     Instant MoveEnds{};
   };
   struct Upstream {
@@ -193,7 +193,7 @@
   void leave(Answer &answer);
   void releaseTarget(Answer &answer);
   void endPrefill(Answer &answer);
-  void queueAgain(Answer &answer);
+  void requeue(Answer &answer);
   void verifyTarget(const UpstreamId &id) const;
   RecoveryActions plan(Instant at, RecoveryActions actions = {});
   void reconsider(Instant at);
--- a/Libraries/LibDecision/RetryBudget.cpp
+++ b/Libraries/LibDecision/RetryBudget.cpp
@@ -3,11 +3,11 @@
 
 namespace sorrelbay {
 
-void RetryBudget::noteCall() { Saved = std::min(MostSaved, Saved + Share); }
+void RetryBudget::noteCall() { Saved = std::min(MaxBalance, Saved + Share); }
 
-void RetryBudget::limitSaved(double mostSaved) {
-  MostSaved = mostSaved;
-  Saved = std::min(MostSaved, Saved);
+void RetryBudget::setMaxBalance(double maxBalance) {
+  MaxBalance = maxBalance;
+  Saved = std::min(MaxBalance, Saved);
 }
 
 bool RetryBudget::takeRetry(RetryLayer layer) {
--- a/Libraries/LibDecision/RetryBudget.h
+++ b/Libraries/LibDecision/RetryBudget.h
@@ -17,22 +17,22 @@
 public:
   /// Each call earns that share of a retry; at most so many are saved up for a
   /// burst.
-  explicit RetryBudget(double share = 0.1, double mostSaved = 10)
-      : RetryBudget(share, mostSaved, mostSaved) {}
+  explicit RetryBudget(double share = 0.1, double maxBalance = 10)
+      : RetryBudget(share, maxBalance, maxBalance) {}
   /// One that begins with so many saved up.
-  RetryBudget(double share, double mostSaved, double saved)
-      : Share(share), MostSaved(mostSaved), Saved(saved) {}
+  RetryBudget(double share, double maxBalance, double saved)
+      : Share(share), MaxBalance(maxBalance), Saved(saved) {}
 
   void noteCall();
   /// Changes how many may be saved up; what is saved beyond it is lost.
-  void limitSaved(double mostSaved);
+  void setMaxBalance(double maxBalance);
   /// Takes a retry out of the budget; false if there is none or the layer may
   /// not retry.
   bool takeRetry(RetryLayer layer);
 
 private:
   double Share;
-  double MostSaved;
+  double MaxBalance;
   double Saved;
 };
 
--- a/Libraries/LibDecision/Rollout.cpp
+++ b/Libraries/LibDecision/Rollout.cpp
@@ -14,7 +14,7 @@
 // A step that the deadline forces is taken this part of the time before it.
 static constexpr double ForcedPart = 0.95;
 // Without a deadline the stages are planned as if it were this far away.
-static constexpr Duration UsualMove = hours(1);
+static constexpr Duration DefaultRolloutTime = hours(1);
 
 const char *toText(RolloutState state) {
   switch (state) {
@@ -36,7 +36,7 @@
   return out;
 }
 
-Rollout::Rollout(MovePlan plan, HostId self, RolloutSettings settings)
+Rollout::Rollout(RolloutPlan plan, HostId self, RolloutSettings settings)
     : Plan(std::move(plan)), Self(std::move(self)), Settings(settings),
       Stages(stagesOf(Plan)),
       Judge(Plan.New, Plan.Old, routeIds(Plan.Routes), settings.Judge) {}
@@ -58,7 +58,7 @@
   out.New = Plan.New;
   out.Old = Plan.Old;
   out.Share = Stages[std::min(Mark.Stage, lastStage())];
-  out.IsTakenBack = State == RolloutState::TakenBack;
+  out.IsRolledBack = State == RolloutState::TakenBack;
   out.FreshUntil = RefreshedAt + Settings.StaleAfter;
   return out;
 }
@@ -79,10 +79,10 @@
 bool Rollout::judge(RolloutKnowledge &knowledge, Instant now) {
   if (!Judge.observe(knowledge.Evidence))
     return false;
-  const BadFinding &found = Judge.finding();
-  const TakeBackReason reason = found.Reason == BadCall::Failure
-                                    ? TakeBackReason::Failures
-                                    : TakeBackReason::Lateness;
+  const RegressionFinding &found = Judge.finding();
+  const RollbackReason reason = found.Reason == BadCallKind::Failure
+                                    ? RollbackReason::Failures
+                                    : RollbackReason::Lateness;
   addVeto(knowledge, {Plan.New, now, Self, reason, found.OnRoute,
                       found.Statistic, found.Seen.New, found.Seen.Old});
   return true;
@@ -90,8 +90,8 @@
 
 void Rollout::followStage(const RolloutKnowledge &knowledge, Instant now) {
   const auto it = knowledge.Stages.find(Plan.New);
-  const StageMark known =
-      it == knowledge.Stages.end() ? StageMark{0, now} : it->second;
+  const StageRecord known =
+      it == knowledge.Stages.end() ? StageRecord{0, now} : it->second;
   if (HasMark && known.Stage == Mark.Stage) {
     Mark = known;
     return;
@@ -119,7 +119,7 @@
   if (Mark.Stage == 0)
     return Mark.Since;
   const Duration left =
-      Plan.hasDeadline() ? Plan.Deadline - Mark.Since : UsualMove;
+      Plan.hasDeadline() ? Plan.Deadline - Mark.Since : DefaultRolloutTime;
   const double weight = weightOf(Stages[Mark.Stage]);
   return Mark.Since +
          fromSeconds(toSeconds(left) * weight /
@@ -182,13 +182,13 @@
   followStage(knowledge, now);
 }
 
-void Rollout::takeBackAtDeadline(RolloutKnowledge &knowledge, Instant now) {
+void Rollout::rollBackAtDeadline(RolloutKnowledge &knowledge, Instant now) {
   if (!Plan.hasDeadline() || Plan.Policy != DeadlinePolicy::Safe)
     return;
   if (Mark.Stage >= lastStage() || now < Plan.Deadline || !isFresh(now))
     return;
   const ComparedCounts seen = Judge.allCalls();
-  addVeto(knowledge, {Plan.New, now, Self, TakeBackReason::Deadline, RouteId(),
+  addVeto(knowledge, {Plan.New, now, Self, RollbackReason::Deadline, RouteId(),
                       0, seen.New, seen.Old});
 }
 
@@ -212,7 +212,7 @@
     return;
   }
   stepIfDue(knowledge, now);
-  takeBackAtDeadline(knowledge, now);
+  rollBackAtDeadline(knowledge, now);
   if (followVeto(knowledge))
     return;
   finishIfDue(now);
--- a/Libraries/LibDecision/Rollout.h
+++ b/Libraries/LibDecision/Rollout.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "LibDecision/CanaryJudge.h"
-#include "LibDecision/MovePlan.h"
 #include "LibDecision/RolloutKnowledge.h"
+#include "LibDecision/RolloutPlan.h"
 
 namespace sorrelbay {
 
@@ -53,7 +53,7 @@
 /// without an agreement, so it works while the object API is down.
 class Rollout {
 public:
-  Rollout(MovePlan plan, HostId self, RolloutSettings settings = {});
+  Rollout(RolloutPlan plan, HostId self, RolloutSettings settings = {});
 
   /// Looks at what is known and decides: a veto, a step, the end of the move.
   /// To be called after each call that went badly, after each message that
@@ -83,16 +83,16 @@
   RolloutStatus status() const;
   RolloutState state() const { return State; }
   bool isAtFullShare() const { return Mark.Stage == lastStage(); }
-  const MovePlan &plan() const { return Plan; }
+  const RolloutPlan &plan() const { return Plan; }
 
 private:
-  MovePlan Plan;
+  RolloutPlan Plan;
   HostId Self;
   RolloutSettings Settings;
   std::vector<StageShare> Stages;
   CanaryJudge Judge;
   RolloutState State = RolloutState::Moving;
-  StageMark Mark;
+  StageRecord Mark;
   bool HasMark = false;
   Instant EndedAt;
   Instant RefreshedAt;
@@ -104,7 +104,7 @@
   void followStage(const RolloutKnowledge &knowledge, Instant now);
   bool followVeto(const RolloutKnowledge &knowledge);
   bool judge(RolloutKnowledge &knowledge, Instant now);
-  void takeBackAtDeadline(RolloutKnowledge &knowledge, Instant now);
+  void rollBackAtDeadline(RolloutKnowledge &knowledge, Instant now);
   void stepIfDue(RolloutKnowledge &knowledge, Instant now);
   void finishIfDue(Instant now);
   bool hasEvidence(const Route &route) const;
--- a/Libraries/LibDecision/RolloutKnowledge.cpp
+++ b/Libraries/LibDecision/RolloutKnowledge.cpp
@@ -3,13 +3,13 @@
 
 namespace sorrelbay {
 
-const char *toText(TakeBackReason reason) {
+const char *toText(RollbackReason reason) {
   switch (reason) {
-  case TakeBackReason::Failures:
+  case RollbackReason::Failures:
     return "failures";
-  case TakeBackReason::Lateness:
+  case RollbackReason::Lateness:
     return "late answers";
-  case TakeBackReason::Deadline:
+  case RollbackReason::Deadline:
     return "no evidence before the deadline";
   }
   return "unknown";
@@ -40,11 +40,11 @@
 }
 
 bool raiseStage(RolloutKnowledge &knowledge, const VersionId &version,
-                const StageMark &mark) {
+                const StageRecord &mark) {
   const auto [it, isNew] = knowledge.Stages.emplace(version, mark);
   if (isNew)
     return true;
-  StageMark &known = it->second;
+  StageRecord &known = it->second;
   const unsigned before = known.Stage;
   const bool isHigher = mark.Stage > known.Stage;
   const bool isEarlier = mark.Stage == known.Stage && mark.Since < known.Since;
--- a/Libraries/LibDecision/RolloutKnowledge.h
+++ b/Libraries/LibDecision/RolloutKnowledge.h
@@ -8,7 +8,7 @@
 namespace sorrelbay {
 
 /// Why a version was taken back.
-enum class TakeBackReason {
+enum class RollbackReason {
   /// It fails more often than the old version.
   Failures,
   /// It answers later than the old version.
@@ -18,7 +18,7 @@
 };
 
 /// The word for the reason in status and logs.
-const char *toText(TakeBackReason reason);
+const char *toText(RollbackReason reason);
 
 /// A version is bad, and why. It holds for that version for good.
 struct Veto {
@@ -26,7 +26,7 @@
   Instant At;
   /// The daemon that found out.
   HostId By;
-  TakeBackReason Reason = TakeBackReason::Failures;
+  RollbackReason Reason = RollbackReason::Failures;
   /// The route whose calls weighed most; empty if all together did.
   RouteId OnRoute;
   /// The judge's statistic when it decided.
@@ -39,12 +39,12 @@
 
 /// How far a version has got. Stages only go up; what share a stage means is
 /// worked out from the bundle.
-struct StageMark {
+struct StageRecord {
   unsigned Stage = 0;
   /// When the first daemon took the step.
   Instant Since;
 
-  friend bool operator==(const StageMark &a, const StageMark &b) {
+  friend bool operator==(const StageRecord &a, const StageRecord &b) {
     return std::tie(a.Stage, a.Since) == std::tie(b.Stage, b.Since);
   }
 };
@@ -54,7 +54,7 @@
 /// may be sent whole or in parts, twice, late and in any order.
 struct RolloutKnowledge {
   std::map<VersionId, Veto> Vetoes;
-  std::map<VersionId, StageMark> Stages;
+  std::map<VersionId, StageRecord> Stages;
   EvidencePool Evidence;
 };
 
@@ -67,7 +67,7 @@
 /// Raises the stage, never lowers it. Of two daemons that took the same step
 /// the earlier one counts. True if anything changed.
 bool raiseStage(RolloutKnowledge &knowledge, const VersionId &version,
-                const StageMark &mark);
+                const StageRecord &mark);
 
 /// Takes in what another daemon knows; true if anything was new.
 bool merge(RolloutKnowledge &into, const RolloutKnowledge &from);
--- a/Libraries/LibDecision/MovePlan.cpp
+++ b/Libraries/LibDecision/RolloutPlan.cpp
@@ -1,4 +1,4 @@
-#include "LibDecision/MovePlan.h"
+#include "LibDecision/RolloutPlan.h"
 #include "LibBase/Hash.h"
 #include "LibBase/Invariant.h"
 #include <algorithm>
@@ -8,20 +8,21 @@
 namespace sorrelbay {
 
 static constexpr double ProbeShare = 0.02;
-static constexpr double StepFactor = 2;
+static constexpr double StageGrowthFactor = 2;
 // The part of the full share that routes wait at for the others to follow.
-static constexpr double ComparablePart = 0.9;
+static constexpr double MaxComparableShare = 0.9;
 
 /// The shares from the first replica on, without the full one.
-static std::vector<double> ladder(const MovePlan &plan) {
+static std::vector<double> ladder(const RolloutPlan &plan) {
   std::vector<double> out;
-  double share = std::max(plan.ReplicaShare, ProbeShare * StepFactor);
-  for (; share < plan.FullShare * ComparablePart; share *= StepFactor)
+  double share = std::max(plan.ReplicaShare, ProbeShare * StageGrowthFactor);
+  for (; share < plan.FullShare * MaxComparableShare;
+       share *= StageGrowthFactor)
     out.push_back(share);
   return out;
 }
 
-std::vector<StageShare> stagesOf(const MovePlan &plan) {
+std::vector<StageShare> stagesOf(const RolloutPlan &plan) {
   const auto isRepeatable = [](const Route &it) { return it.Repeatable; };
   const bool hasRepeatable =
       std::any_of(plan.Routes.begin(), plan.Routes.end(), isRepeatable);
@@ -34,7 +35,7 @@
     out.push_back({probe, 0, true});
     for (const double share : ladder(plan))
       out.push_back({share, 0, false});
-    moved = plan.FullShare * ComparablePart;
+    moved = plan.FullShare * MaxComparableShare;
   }
   if (hasOthers) {
     if (hasRepeatable)
@@ -47,8 +48,9 @@
   return out;
 }
 
-std::optional<MovePlan> planMove(const Bundle &bundle, const ServiceId &service,
-                                 std::size_t replicas) {
+std::optional<RolloutPlan> planRollout(const Bundle &bundle,
+                                       const ServiceId &service,
+                                       std::size_t replicas) {
   const Service *wanted = findService(bundle, service);
   if (wanted == nullptr)
     return std::nullopt;
@@ -62,7 +64,7 @@
   }
   if (from == nullptr || to == nullptr)
     return std::nullopt;
-  MovePlan plan;
+  RolloutPlan plan;
   plan.New = to->Id;
   plan.Old = from->Id;
   plan.Policy = wanted->Policy;
@@ -78,7 +80,7 @@
 
 VersionId chooseVersion(const VersionShares &shares, std::string_view key,
                         bool isRepeatable, Instant now) {
-  if (shares.IsTakenBack || now > shares.FreshUntil)
+  if (shares.IsRolledBack || now > shares.FreshUntil)
     return shares.Old;
   const double share =
       isRepeatable ? shares.Share.Repeatable : shares.Share.NonRepeatable;
@@ -88,7 +90,7 @@
   return shares.New;
 }
 
-std::vector<UpstreamId> packedReplicas(std::vector<UpstreamId> replicas,
+std::vector<UpstreamId> canaryReplicas(std::vector<UpstreamId> replicas,
                                        double share, double replicaShare) {
   std::sort(replicas.begin(), replicas.end(),
             [](const UpstreamId &a, const UpstreamId &b) {
--- a/Libraries/LibDecision/MovePlan.h
+++ b/Libraries/LibDecision/RolloutPlan.h
@@ -23,7 +23,7 @@
 
 /// One move of a service from an old version to a new one, as the bundle asks
 /// for it. All daemons that have the same bundle work out the same plan.
-struct MovePlan {
+struct RolloutPlan {
   VersionId New;
   VersionId Old;
   std::vector<Route> Routes;
@@ -44,13 +44,14 @@
 /// repeated follow when the others are through: a failed booking may have run,
 /// and nobody may try it again. Until the last stage some calls stay with the
 /// old version, to be compared with.
-std::vector<StageShare> stagesOf(const MovePlan &plan);
+std::vector<StageShare> stagesOf(const RolloutPlan &plan);
 
 /// The move that the bundle asks for a service: the version with the share
 /// that grows, from the one that had it. Nothing if the service has one
 /// version only. The old version is the one without a deadline.
-std::optional<MovePlan> planMove(const Bundle &bundle, const ServiceId &service,
-                                 std::size_t replicas);
+std::optional<RolloutPlan> planRollout(const Bundle &bundle,
+                                       const ServiceId &service,
+                                       std::size_t replicas);
 
 /// What callers are given, cut from one stage; small and immutable, so that
 /// it can be read for each call without a lock on the rollout.
@@ -58,7 +59,7 @@
   VersionId New;
   VersionId Old;
   StageShare Share;
-  bool IsTakenBack = false;
+  bool IsRolledBack = false;
   /// Until when the shares may be used without hearing from the peers.
   Instant FreshUntil;
 };
@@ -74,7 +75,7 @@
 /// each of them carries its normal load; some faults only show then. Sorted
 /// by a hash, so that all daemons pack onto the same ones and a growing share
 /// only adds to them.
-std::vector<UpstreamId> packedReplicas(std::vector<UpstreamId> replicas,
+std::vector<UpstreamId> canaryReplicas(std::vector<UpstreamId> replicas,
                                        double share, double replicaShare);
 
 } // namespace sorrelbay
--- a/Libraries/LibDecision/WeightLoads.h
+++ b/Libraries/LibDecision/WeightLoads.h
@@ -9,7 +9,7 @@
 
 /// A version's weights that an upstream has to load from the weight store.
 struct WeightLoad {
-  UpstreamId Onto;
+  UpstreamId TargetUpstream;
   VersionId OfVersion;
   std::int64_t Bytes = 0;
   /// When the version must be able to serve there.
--- a/Tests/LibDecision/DeskCallWorld.cpp
+++ b/Tests/LibDecision/DeskCallSimulation.cpp
@@ -1,4 +1,4 @@
-#include "DeskCallWorld.h"
+#include "DeskCallSimulation.h"
 #include "LibBase/Invariant.h"
 #include <algorithm>
 
@@ -11,7 +11,7 @@
 static constexpr std::uint32_t Buckets = 2;
 static constexpr int DrainSteps = 20000;
 
-WorldCount &WorldCount::operator+=(const WorldCount &more) {
+SimulationCounts &SimulationCounts::operator+=(const SimulationCounts &more) {
   Events += more.Events;
   Runs += more.Runs;
   DoubleRuns += more.DoubleRuns;
@@ -27,7 +27,7 @@
   return *this;
 }
 
-DeskCallWorld::DeskCallWorld(std::uint64_t seed, Omission omission)
+DeskCallSimulation::DeskCallSimulation(std::uint64_t seed, Omission omission)
     : Engine(seed), Omitted(omission), Hosts(HostCount) {
   // From nearly undisturbed to hopeless: some faults need a call to get far.
   DisturbancePercent = 1 + static_cast<int>(pick(8));
@@ -35,7 +35,7 @@
     startLife(it);
   for (std::size_t it = 0; it < CallerCount; it++) {
     Caller caller;
-    caller.Id = {TeamId("north"), CallKey("key-" + std::to_string(it))};
+    caller.Id = {TeamId("north"), IdempotencyKey("key-" + std::to_string(it))};
     if (chance(35))
       caller.Id.Key =
           ticketKey(Hosts[pick(HostCount)].Tickets->issue("", Clock));
@@ -45,7 +45,7 @@
   }
 }
 
-WorldCount DeskCallWorld::run(int steps) {
+SimulationCounts DeskCallSimulation::run(int steps) {
   const InvariantHandler old =
       setInvariantHandler([](const std::string &name, const std::string &seen) {
         throw InvariantViolation(name + ": " + seen);
@@ -69,7 +69,7 @@
   return Count;
 }
 
-void DeskCallWorld::step() {
+void DeskCallSimulation::step() {
   Clock += milliseconds(pick(40));
   if (!IsCalm && chance(DisturbancePercent))
     disturb();
@@ -77,7 +77,7 @@
     deliverOne();
 }
 
-bool DeskCallWorld::deliverOne() {
+bool DeskCallSimulation::deliverOne() {
   if (Bag.empty())
     return false;
   std::swap(Bag[pick(Bag.size())], Bag.back());
@@ -94,7 +94,7 @@
   return true;
 }
 
-void DeskCallWorld::disturb() {
+void DeskCallSimulation::disturb() {
   const int host = static_cast<int>(pick(HostCount));
   const std::size_t caller = pick(CallerCount);
   switch (pick(8)) {
@@ -119,7 +119,7 @@
   }
 }
 
-void DeskCallWorld::startLife(int host) {
+void DeskCallSimulation::startLife(int host) {
   Host fresh;
   fresh.Life = NextNumber++;
   fresh.Incarnation =
@@ -130,7 +130,7 @@
 }
 
 // The new process has the old one's address and none of its memory.
-void DeskCallWorld::crash(int host) {
+void DeskCallSimulation::crash(int host) {
   Count.Crashes++;
   for (auto &[number, live] : Hosts[host].Calls)
     if (live.Drop && !live.Protocol.isAnswered())
@@ -138,37 +138,37 @@
   startLife(host);
 }
 
-void DeskCallWorld::beginAttempt(std::size_t caller) {
+void DeskCallSimulation::beginAttempt(std::size_t caller) {
   Caller &it = Callers[caller];
   if (it.Latest >= MaxAttempts)
     return;
   const CallAttempt ordinal = ++it.Latest;
   const int host = static_cast<int>(pick(HostCount));
-  const Entrance entrance = chance(15) ? Entrance::Shed : Entrance::Start;
+  const EntryMode entrance = chance(15) ? EntryMode::Shed : EntryMode::Start;
   postTo(host, [this, host, entrance, caller, ordinal] {
     enter(
         host, entrance, caller, ordinal,
         [this, caller, ordinal](const DeskCallAnswer &answer) {
           post([this, caller, ordinal, answer] {
-            hear(caller, ordinal, answer);
+            receive(caller, ordinal, answer);
           });
         },
         nullptr);
   });
 }
 
-void DeskCallWorld::ask(std::size_t caller) {
+void DeskCallSimulation::ask(std::size_t caller) {
   const CallAttempt ordinal = Callers[caller].Latest;
   if (ordinal == 0)
     return;
   const int host = static_cast<int>(pick(HostCount));
   postTo(host, [this, host, caller, ordinal] {
-    enter(host, Entrance::Query, caller, ordinal, nullptr, nullptr);
+    enter(host, EntryMode::Query, caller, ordinal, nullptr, nullptr);
   });
 }
 
-void DeskCallWorld::hear(std::size_t caller, CallAttempt ordinal,
-                         const DeskCallAnswer &answer) {
+void DeskCallSimulation::receive(std::size_t caller, CallAttempt ordinal,
+                                 const DeskCallAnswer &answer) {
   Caller &it = Callers[caller];
   if (answer.Outcome == CallOutcome::Done)
     it.IsSatisfied = true;
@@ -176,14 +176,14 @@
     beginAttempt(caller);
 }
 
-void DeskCallWorld::enter(int host, Entrance entrance, std::size_t caller,
-                          CallAttempt ordinal, Reply respond,
-                          std::function<void()> drop) {
+void DeskCallSimulation::enter(int host, EntryMode entrance, std::size_t caller,
+                               CallAttempt ordinal, Reply respond,
+                               std::function<void()> drop) {
   Host &at = Hosts[host];
   const Caller &from = Callers[caller];
   DeskCall call;
   call.Purpose =
-      entrance == Entrance::Query ? CallPurpose::Query : CallPurpose::Run;
+      entrance == EntryMode::Query ? CallPurpose::Query : CallPurpose::Run;
   call.Id = from.Id;
   call.Attempt = from.DeclaresAttempts ? ordinal : UndeclaredAttempt;
   call.Self = at.Incarnation;
@@ -206,19 +206,19 @@
     });
 }
 
-DeskCallActions DeskCallWorld::begin(int host, LiveCall &live,
-                                     Entrance entrance) {
+DeskCallActions DeskCallSimulation::begin(int host, LiveCall &live,
+                                          EntryMode entrance) {
   const auto ticket = parseTicket(live.Protocol.call().Id.Key);
   const bool isOwn = ticket && ticket->Owner == Hosts[host].Incarnation;
   if (isOwn && !Hosts[host].Tickets->isValid(*ticket, Clock))
     return live.Protocol.refuseExpiredTicket();
-  if (entrance == Entrance::Shed)
+  if (entrance == EntryMode::Shed)
     return live.Protocol.shed();
   return live.Protocol.start(Clock);
 }
 
-void DeskCallWorld::act(int host, std::uint64_t call,
-                        const DeskCallActions &actions) {
+void DeskCallSimulation::act(int host, std::uint64_t call,
+                             const DeskCallActions &actions) {
   for (const DeskCallAction &it : actions) {
     if (const auto *edit = std::get_if<SubmitEdit>(&it))
       submit(host, call, *edit);
@@ -231,8 +231,8 @@
   }
 }
 
-void DeskCallWorld::submit(int host, std::uint64_t call,
-                           const SubmitEdit &submit) {
+void DeskCallSimulation::submit(int host, std::uint64_t call,
+                                const SubmitEdit &submit) {
   LedgerEdit edit = submit.Edit;
   if (Omitted == Omission::ClosedMark && edit.Kind == EditKind::Close &&
       submit.Where == SubmitEdit::Place::Ledger) {
@@ -259,7 +259,7 @@
   pump(host, bucket);
 }
 
-void DeskCallWorld::pump(int host, std::uint32_t bucket) {
+void DeskCallSimulation::pump(int host, std::uint32_t bucket) {
   BucketUpdater &updater = Hosts[host].Updaters.at(bucket);
   if (const auto request = updater.next(Clock))
     sendToStore(host, bucket, *request);
@@ -273,20 +273,20 @@
   }
 }
 
-void DeskCallWorld::onEdit(int host, std::uint64_t call,
-                           const EditOutcome &outcome) {
+void DeskCallSimulation::onEdit(int host, std::uint64_t call,
+                                const EditOutcome &outcome) {
   act(host, call, Hosts[host].Calls.at(call).Protocol.onEdit(outcome, Clock));
 }
 
-void DeskCallWorld::onDesk(int host, std::uint64_t call, Take take) {
+void DeskCallSimulation::onDesk(int host, std::uint64_t call, Take take) {
   if (Omitted == Omission::SingleSendAfterLoss &&
       take == &DeskCallProtocol::onDeskLost)
     take = &DeskCallProtocol::onDeskRefused;
   act(host, call, (Hosts[host].Calls.at(call).Protocol.*take)());
 }
 
-void DeskCallWorld::sendToStore(int host, std::uint32_t bucket,
-                                const BucketRequest &request) {
+void DeskCallSimulation::sendToStore(int host, std::uint32_t bucket,
+                                     const BucketRequest &request) {
   const bool isGivenUp = !IsCalm && chance(10);
   // A request that its sender no longer waits for may still take effect.
   const std::uint64_t life = isGivenUp ? 0 : Hosts[host].Life;
@@ -308,9 +308,9 @@
   });
 }
 
-void DeskCallWorld::serveStore(int host, std::uint64_t life,
-                               std::uint32_t bucket,
-                               const BucketRequest &request) {
+void DeskCallSimulation::serveStore(int host, std::uint64_t life,
+                                    std::uint32_t bucket,
+                                    const BucketRequest &request) {
   std::function<void(BucketUpdater &)> tell = [](BucketUpdater &it) {
     it.onUnavailable();
   };
@@ -341,7 +341,7 @@
   });
 }
 
-void DeskCallWorld::sendToDesk(int host, std::uint64_t call) {
+void DeskCallSimulation::sendToDesk(int host, std::uint64_t call) {
   LiveCall &live = Hosts[host].Calls.at(call);
   live.WasSent = true;
   const bool isGivenUp = !IsCalm && chance(10);
@@ -357,8 +357,9 @@
     });
 }
 
-void DeskCallWorld::serveDesk(int host, std::uint64_t life, std::uint64_t call,
-                              std::size_t caller, CallAttempt ordinal) {
+void DeskCallSimulation::serveDesk(int host, std::uint64_t life,
+                                   std::uint64_t call, std::size_t caller,
+                                   CallAttempt ordinal) {
   const bool isRefused = life != 0 && chance(25);
   if (!isRefused)
     checkRun(caller, ordinal);
@@ -376,8 +377,8 @@
   });
 }
 
-void DeskCallWorld::forward(int host, std::uint64_t call,
-                            const IncarnationId &owner) {
+void DeskCallSimulation::forward(int host, std::uint64_t call,
+                                 const IncarnationId &owner) {
   const int to = std::stoi(owner.text());
   const LiveCall &live = Hosts[host].Calls.at(call);
   const std::size_t caller = live.CallerIndex;
@@ -401,9 +402,9 @@
   postTo(to, [=] {
     if (Hosts[to].Incarnation != owner)
       return refuse();
-    const Entrance entrance = isQuery      ? Entrance::Query
-                              : chance(15) ? Entrance::Shed
-                                           : Entrance::Start;
+    const EntryMode entrance = isQuery      ? EntryMode::Query
+                               : chance(15) ? EntryMode::Shed
+                                            : EntryMode::Start;
     const Reply respond = [back](const DeskCallAnswer &answer) {
       back([answer](DeskCallProtocol &it) {
         return it.onForwardAnswered(answer);
@@ -413,8 +414,8 @@
   });
 }
 
-void DeskCallWorld::answer(int host, std::uint64_t call,
-                           DeskCallAnswer answer) {
+void DeskCallSimulation::answer(int host, std::uint64_t call,
+                                DeskCallAnswer answer) {
   const LiveCall &live = Hosts[host].Calls.at(call);
   if (Omitted == Omission::RefusalOfTheKey && !live.WasSent &&
       answer.Outcome == CallOutcome::Unknown)
@@ -432,7 +433,7 @@
     live.Drop();
 }
 
-void DeskCallWorld::checkRun(std::size_t caller, CallAttempt ordinal) {
+void DeskCallSimulation::checkRun(std::size_t caller, CallAttempt ordinal) {
   Caller &it = Callers[caller];
   Count.Runs++;
   if (!it.RanBy.empty())
@@ -442,7 +443,7 @@
   it.RanBy.push_back(ordinal);
 }
 
-void DeskCallWorld::checkNotRun(std::size_t caller, CallAttempt ordinal) {
+void DeskCallSimulation::checkNotRun(std::size_t caller, CallAttempt ordinal) {
   Caller &it = Callers[caller];
   // Of an undeclared attempt the caller can't tell which it was, so the
   // answer must hold for all that were begun.
--- a/Tests/LibDecision/DeskCallWorld.h
+++ b/Tests/LibDecision/DeskCallSimulation.h
@@ -24,7 +24,7 @@
 };
 
 /// What a run of the world has counted.
-struct WorldCount {
+struct SimulationCounts {
   std::uint64_t Events = 0;
   std::uint64_t Runs = 0;
   std::uint64_t DoubleRuns = 0;
@@ -42,16 +42,16 @@
   std::uint64_t LostReplies = 0;
   std::uint64_t BrokenInvariants = 0;
 
-  WorldCount &operator+=(const WorldCount &more);
+  SimulationCounts &operator+=(const SimulationCounts &more);
 };
 
 /// Entry hosts, a ledger, desks and callers whose messages are delivered in an
 /// order drawn from the seed, with crashes, pauses, outages and losses between
 /// any two of them. All decisions are those of LibDecision.
-class DeskCallWorld {
+class DeskCallSimulation {
 public:
-  DeskCallWorld(std::uint64_t seed, Omission omission);
-  WorldCount run(int steps);
+  DeskCallSimulation(std::uint64_t seed, Omission omission);
+  SimulationCounts run(int steps);
 
 private:
   struct Caller {
@@ -112,13 +112,13 @@
 
   void beginAttempt(std::size_t caller);
   void ask(std::size_t caller);
-  void hear(std::size_t caller, CallAttempt ordinal,
-            const DeskCallAnswer &answer);
+  void receive(std::size_t caller, CallAttempt ordinal,
+               const DeskCallAnswer &answer);
 
-  enum class Entrance { Start, Shed, Query };
-  void enter(int host, Entrance entrance, std::size_t caller,
+  enum class EntryMode { Start, Shed, Query };
+  void enter(int host, EntryMode entrance, std::size_t caller,
              CallAttempt ordinal, Reply respond, std::function<void()> drop);
-  DeskCallActions begin(int host, LiveCall &live, Entrance entrance);
+  DeskCallActions begin(int host, LiveCall &live, EntryMode entrance);
   void act(int host, std::uint64_t call, const DeskCallActions &actions);
   void submit(int host, std::uint64_t call, const SubmitEdit &submit);
   void pump(int host, std::uint32_t bucket);
@@ -148,7 +148,7 @@
   std::map<std::uint32_t, StoredObject> Store;
   bool IsStoreDown = false;
   std::uint64_t NextNumber = 1;
-  WorldCount Count;
+  SimulationCounts Count;
 };
 
 } // namespace sorrelbay
--- a/Tests/LibDecision/MoverWorld.cpp
+++ b/Tests/LibDecision/HostPlannerSimulation.cpp
@@ -1,4 +1,4 @@
-#include "MoverWorld.h"
+#include "HostPlannerSimulation.h"
 #include <algorithm>
 
 namespace sorrelbay {
@@ -12,23 +12,24 @@
 static constexpr Duration OrderTimeout = milliseconds(MostOrderDelayMs);
 static constexpr Duration StartTime = seconds(8);
 
-static MoverLeaseSettings leaseSettings(MoverFlaw flaw) {
-  MoverLeaseSettings settings;
+static LeaderLeaseSettings leaseSettings(HostPlannerFault flaw) {
+  LeaderLeaseSettings settings;
   settings.Term = seconds(4);
   settings.OrderTimeout =
-      flaw == MoverFlaw::NoWaitOut ? Duration{} : OrderTimeout;
+      flaw == HostPlannerFault::NoWaitOut ? Duration{} : OrderTimeout;
   return settings;
 }
 
-static MoverSettings moverSettings() {
-  MoverSettings settings;
+static HostPlannerSettings moverSettings() {
+  HostPlannerSettings settings;
   settings.StartTime = StartTime;
   settings.RefusalPause = seconds(20);
   settings.DrainTime = seconds(5);
   return settings;
 }
 
-MoverWorld::MoverWorld(std::uint64_t seed, MoverFlaw flaw)
+HostPlannerSimulation::HostPlannerSimulation(std::uint64_t seed,
+                                             HostPlannerFault flaw)
     : Random(seed), Flaw(flaw), NeedsLease(seed % 2 == 0), Now(seconds(1000)) {
   for (const char *zone : {"a", "b", "c"})
     Offers.push_back({ZoneId(zone), MachineClass("m"), true, 300, 1});
@@ -37,21 +38,24 @@
     Engines.push_back({UpstreamId(std::to_string(n)), n % 2 == 0, {}, 0});
   for (int n = 0; n < DaemonCount; ++n)
     Daemons.emplace_back(
-        MoverLease(IncarnationId(std::to_string(n)), leaseSettings(flaw)),
+        LeaderLease(IncarnationId(std::to_string(n)), leaseSettings(flaw)),
         moverSettings(),
-        LevelOrders(flaw == MoverFlaw::OverlappingOrders ? Duration{}
-                                                         : OrderTimeout));
+        EngineCommands(flaw == HostPlannerFault::OverlappingOrders
+                           ? Duration{}
+                           : OrderTimeout));
 }
 
-int MoverWorld::between(int low, int high) {
+int HostPlannerSimulation::between(int low, int high) {
   return std::uniform_int_distribution<int>(low, high)(Random);
 }
 
-bool MoverWorld::chance(int percent) { return between(1, 100) <= percent; }
+bool HostPlannerSimulation::chance(int percent) {
+  return between(1, 100) <= percent;
+}
 
-bool MoverWorld::isStoreDown() const { return Now < StoreDownUntil; }
+bool HostPlannerSimulation::isStoreDown() const { return Now < StoreDownUntil; }
 
-std::string MoverWorld::run() {
+std::string HostPlannerSimulation::run() {
   const Instant quietFrom = Now + TroubleFor;
   const Instant end = quietFrom + QuietFor;
   while (Now < end && Broken.empty()) {
@@ -67,7 +71,7 @@
   return Broken;
 }
 
-void MoverWorld::stepWorld() {
+void HostPlannerSimulation::stepWorld() {
   deliverOrders();
   for (Host &it : Hosts) {
     if (Now >= it.GoneAt)
@@ -87,7 +91,7 @@
     ++Generation;
 }
 
-void MoverWorld::reclaimZone() {
+void HostPlannerSimulation::reclaimZone() {
   const ZoneId zone = Offers[static_cast<std::size_t>(between(0, 2))].InZone;
   const Instant goneAt = Now + seconds(between(2, 30));
   for (Host &it : Hosts) {
@@ -99,7 +103,7 @@
   }
 }
 
-void MoverWorld::deliverOrders() {
+void HostPlannerSimulation::deliverOrders() {
   std::vector<Delivery> later;
   for (const Delivery &it : Deliveries) {
     if (it.At > Now) {
@@ -109,19 +113,19 @@
     for (Engine &engine : Engines) {
       if (engine.Id != it.Order.Engine)
         continue;
-      const bool isOld = it.Order.Fencing < engine.Fencing;
+      const bool isOld = it.Order.FencingToken < engine.FencingToken;
       if (isOld && engine.HonoursFencing)
         continue;
       if (isOld)
         Broken = "an old order took effect after a newer one";
-      engine.Fencing = it.Order.Fencing;
+      engine.FencingToken = it.Order.FencingToken;
       engine.Versions = it.Order.Versions;
     }
   }
   Deliveries = later;
 }
 
-void MoverWorld::stepDaemon(Daemon &daemon) {
+void HostPlannerSimulation::stepDaemon(Daemon &daemon) {
   if (!IsQuiet && between(1, 60) == 1) {
     daemon.PausedUntil = Now + milliseconds(between(100, 30000));
     return;
@@ -141,7 +145,8 @@
     stepRound(daemon);
 }
 
-MoverWorld::Outcome MoverWorld::writeOutcome(bool isExpected) {
+HostPlannerSimulation::Outcome
+HostPlannerSimulation::writeOutcome(bool isExpected) {
   if (isStoreDown())
     return Outcome::Unavailable;
   if (!IsQuiet && chance(5))
@@ -149,8 +154,8 @@
   return isExpected ? Outcome::Done : Outcome::Conflict;
 }
 
-void MoverWorld::stepLease(Daemon &daemon) {
-  MoverLease &lease = daemon.Lease;
+void HostPlannerSimulation::stepLease(Daemon &daemon) {
+  LeaderLease &lease = daemon.Lease;
   if (lease.step(Now) == LeaseStep::Read) {
     if (!isStoreDown())
       daemon.Reply = [this, &lease, state = Lease] {
@@ -178,7 +183,7 @@
   };
 }
 
-void MoverWorld::stepRound(Daemon &daemon) {
+void HostPlannerSimulation::stepRound(Daemon &daemon) {
   switch (daemon.At) {
   case Round::None:
     if (daemon.Lease.isHeld(Now) && chance(50))
@@ -201,7 +206,7 @@
   }
 }
 
-void MoverWorld::readPlan(Daemon &daemon) {
+void HostPlannerSimulation::readPlan(Daemon &daemon) {
   if (isStoreDown())
     return;
   daemon.Reply = [&daemon, plan = Plan, version = PlanVersion] {
@@ -211,7 +216,7 @@
   };
 }
 
-void MoverWorld::listHosts(Daemon &daemon) {
+void HostPlannerSimulation::listHosts(Daemon &daemon) {
   std::vector<CloudHost> shown;
   for (const Host &it : Hosts)
     if (it.ShownAt <= Now)
@@ -225,20 +230,20 @@
       shown.push_back(it);
   }
   daemon.Reply = [this, &daemon, shown] {
-    MoverView view;
+    HostPlannerInput view;
     view.Generation = daemon.Generation;
     view.Offers = Offers;
     view.Hosts = shown;
     view.Capacity = Capacity;
     daemon.Decision = daemon.Decides.decide(daemon.Plan, view, Now);
     daemon.At = Round::Listed;
-    if (Flaw == MoverFlaw::OrdersBeforeStored)
+    if (Flaw == HostPlannerFault::OrdersBeforeStored)
       for (const CreateOrder &it : daemon.Decision.Creates)
         create(daemon, it);
   };
 }
 
-void MoverWorld::storePlan(Daemon &daemon) {
+void HostPlannerSimulation::storePlan(Daemon &daemon) {
   if (!daemon.Decision.HasChanged) {
     daemon.At = Round::Stored;
     return;
@@ -259,14 +264,15 @@
   };
 }
 
-void MoverWorld::create(Daemon &daemon, const CreateOrder &order) {
+void HostPlannerSimulation::create(Daemon &daemon, const CreateOrder &order) {
   if (StoredTokens.count(order.Token) == 0)
     Broken = "a host was ordered that no stored plan names";
   const auto known =
       std::find_if(Hosts.begin(), Hosts.end(), [&](const Host &it) {
         return it.Listed.Token == order.Token;
       });
-  const bool isKnown = known != Hosts.end() && Flaw != MoverFlaw::TokenPerTry;
+  const bool isKnown =
+      known != Hosts.end() && Flaw != HostPlannerFault::TokenPerTry;
   if (!isKnown && !IsQuiet && chance(25)) {
     daemon.Decides.noteRefused(order.From, Now);
     return;
@@ -285,7 +291,7 @@
     daemon.Hosts.push_back(host);
 }
 
-void MoverWorld::giveOrders(Daemon &daemon) {
+void HostPlannerSimulation::giveOrders(Daemon &daemon) {
   if (!daemon.Decision.Creates.empty()) {
     create(daemon, daemon.Decision.Creates.back());
     daemon.Decision.Creates.pop_back();
@@ -304,15 +310,15 @@
 // A pause between the check of the lease and the sending of an order to an
 // engine that takes any can't be excluded; there the next reading mends it.
 // Here both are one step, and what is sent arrives within the order timeout.
-void MoverWorld::orderLevels(Daemon &daemon) {
-  std::vector<EngineLevels> seen;
+void HostPlannerSimulation::orderLevels(Daemon &daemon) {
+  std::vector<EngineVersions> seen;
   for (const Engine &it : Engines)
     seen.push_back({it.Id, it.Versions, it.HonoursFencing, Now});
   daemon.Reply = [this, &daemon, seen] {
     std::map<UpstreamId, std::set<VersionId>> wanted;
     for (const Engine &it : Engines)
       wanted[it.Id] = {VersionId("v" + std::to_string(daemon.Generation))};
-    for (const LevelOrder &it :
+    for (const EngineCommand &it :
          daemon.Orders.decide(wanted, seen, daemon.Lease, Now)) {
       if (!IsQuiet && chance(10))
         continue;
@@ -323,7 +329,7 @@
   };
 }
 
-void MoverWorld::checkQuiet() {
+void HostPlannerSimulation::checkQuiet() {
   for (const Slot &slot : Plan.Slots) {
     int running = 0;
     for (const Host &it : Hosts)
--- a/Tests/LibDecision/MoverWorld.h
+++ b/Tests/LibDecision/HostPlannerSimulation.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "LibDecision/LevelOrders.h"
-#include "LibDecision/Mover.h"
+#include "LibDecision/EngineCommands.h"
+#include "LibDecision/HostPlanner.h"
 #include <functional>
 #include <optional>
 #include <random>
@@ -13,7 +13,7 @@
 
 /// How the movers of a run differ from the product's, so that the run's checks
 /// can be seen to catch it.
-enum class MoverFlaw {
+enum class HostPlannerFault {
   None,
   /// Each try at a create has a token of its own.
   TokenPerTry,
@@ -28,9 +28,9 @@
 /// Three movers, a store, a cloud and engines: replies and orders are late or
 /// lost, starts are refused, zones reclaimed, movers paused between any two
 /// steps, and the store has outages. It says what promise was broken, if any.
-class MoverWorld {
+class HostPlannerSimulation {
 public:
-  MoverWorld(std::uint64_t seed, MoverFlaw flaw);
+  HostPlannerSimulation(std::uint64_t seed, HostPlannerFault flaw);
 
   /// Runs through trouble, then quiet, and returns the first broken promise or
   /// nothing.
@@ -50,27 +50,28 @@
     UpstreamId Id;
     bool HonoursFencing = false;
     std::set<VersionId> Versions;
-    std::uint64_t Fencing = 0;
+    std::uint64_t FencingToken = 0;
   };
   struct Delivery {
     Instant At;
-    LevelOrder Order;
+    EngineCommand Order;
   };
   struct Daemon {
-    Daemon(MoverLease lease, MoverSettings settings, LevelOrders orders)
+    Daemon(LeaderLease lease, HostPlannerSettings settings,
+           EngineCommands orders)
         : Lease(std::move(lease)), Decides(settings),
           Orders(std::move(orders)) {}
 
-    MoverLease Lease;
-    Mover Decides;
-    LevelOrders Orders;
+    LeaderLease Lease;
+    HostPlanner Decides;
+    EngineCommands Orders;
     Instant PausedUntil{};
     std::uint64_t Generation = 1;
     Round At = Round::None;
-    MoverPlan Plan;
+    HostPlan Plan;
     std::uint64_t PlanVersion = 0;
     std::vector<CloudHost> Hosts;
-    MoverDecision Decision;
+    HostPlannerDecision Decision;
     /// What is left of a call whose effect was made: taking in its reply.
     std::function<void()> Reply;
   };
@@ -94,14 +95,14 @@
   void checkQuiet();
 
   std::mt19937_64 Random;
-  MoverFlaw Flaw;
+  HostPlannerFault Flaw;
   bool NeedsLease;
   bool IsQuiet = false;
   Instant Now;
   std::string Broken;
 
   LeaseState Lease;
-  MoverPlan Plan;
+  HostPlan Plan;
   std::uint64_t PlanVersion = 0;
   std::set<ClientToken> StoredTokens;
   Instant StoreDownUntil{};
--- a/Tests/LibDecision/RandomisedRollout.cpp
+++ b/Tests/LibDecision/RandomisedRollout.cpp
@@ -17,7 +17,7 @@
 /// that restart and are paused.
 CanaryScenario troubled(const CanaryScenario &base) {
   CanaryScenario out = base;
-  out.EndsWhenTakenBack = true;
+  out.EndsWhenRolledBack = true;
   out.After = minutes(5);
   out.GossipLost = 0.2;
   out.GossipRepeated = 0.1;
@@ -38,7 +38,7 @@
 /// What is wrong with the move, or nothing.
 std::string checkBadMove(const CanaryFault &fault, const MoveResult &result) {
   const bool isAtOnce = fault.From <= 0 && !fault.OnlyUnderLoad;
-  if (!result.IsTakenBack)
+  if (!result.IsRolledBack)
     return "not taken back";
   if (result.CallsToFault > (isAtOnce ? MostCallsAtOnce : MostCallsLater))
     return std::to_string(result.CallsToFault) + " calls reached the fault";
--- a/Tests/LibDecision/TestAdmission.cpp
+++ b/Tests/LibDecision/TestAdmission.cpp
@@ -24,7 +24,7 @@
 
 AdmissionSettings onePlace() {
   AdmissionSettings settings;
-  settings.Places = 1;
+  settings.CallSlots = 1;
   settings.MaxQueuedPerTeam = 3;
   return settings;
 }
@@ -36,7 +36,7 @@
   const char *Team;
   Duration Deadline;
   std::optional<AdmissionKind> Wanted;
-  RefusalCause Reason;
+  AdmissionRefusalCause Reason;
 };
 
 std::ostream &operator<<(std::ostream &out, const ArrivalRow &row) {
@@ -45,18 +45,18 @@
 
 const ArrivalRow ArrivalRows[] = {
     {"a free place", 0, "a", seconds(2), AdmissionKind::Start,
-     RefusalCause::None},
+     AdmissionRefusalCause::None},
     {"a free place and hardly time", 0, "a", milliseconds(1),
-     AdmissionKind::Start, RefusalCause::None},
+     AdmissionKind::Start, AdmissionRefusalCause::None},
     {"past its deadline", 0, "a", -seconds(1), AdmissionKind::Refuse,
-     RefusalCause::Hopeless},
-    {"waits", 2, "a", seconds(5), std::nullopt, RefusalCause::None},
+     AdmissionRefusalCause::DeadlineUnreachable},
+    {"waits", 2, "a", seconds(5), std::nullopt, AdmissionRefusalCause::None},
     {"no time to wait", 1, "a", milliseconds(250), AdmissionKind::Refuse,
-     RefusalCause::Hopeless},
+     AdmissionRefusalCause::DeadlineUnreachable},
     {"its team waits too much", 4, "a", seconds(5), AdmissionKind::Refuse,
-     RefusalCause::QueueFull},
+     AdmissionRefusalCause::QueueFull},
     {"another team waits too much", 4, "b", seconds(5), std::nullopt,
-     RefusalCause::None},
+     AdmissionRefusalCause::None},
 };
 
 } // namespace
@@ -145,7 +145,7 @@
 
 AdmissionUnderTest product(const std::vector<Team> &teams) {
   AdmissionSettings settings;
-  settings.Places = RunPlaces;
+  settings.CallSlots = RunPlaces;
   settings.MaxQueuedPerTeam = 50;
   const auto admission = std::make_shared<Admission>(settings);
   admission->setTeams(teams);
@@ -170,7 +170,7 @@
     std::vector<AdmissionAction> actions;
     while (state->Free > 0 && !state->Waiting.empty()) {
       actions.push_back({AdmissionKind::Start, state->Waiting.front().Id,
-                         RefusalCause::None, Duration{}});
+                         AdmissionRefusalCause::None, Duration{}});
       state->Waiting.pop_front();
       --state->Free;
     }
--- a/Tests/LibDecision/TestAnswerStream.cpp
+++ b/Tests/LibDecision/TestAnswerStream.cpp
@@ -28,9 +28,11 @@
 const TokenRow TokenRows[] = {
     {"next", {Own, 2, 2, "c"}, TokenVerdict::Taken},
     {"of an attempt that is over", {Own, 1, 2, "c"}, TokenVerdict::Late},
-    {"of another request", {RequestId("x"), 2, 2, "c"}, TokenVerdict::Crossed},
-    {"of an attempt never begun", {Own, 3, 2, "c"}, TokenVerdict::Crossed},
-    {"without an attempt", {Own, 0, 2, "c"}, TokenVerdict::Crossed},
+    {"of another request",
+     {RequestId("x"), 2, 2, "c"},
+     TokenVerdict::Misrouted},
+    {"of an attempt never begun", {Own, 3, 2, "c"}, TokenVerdict::Misrouted},
+    {"without an attempt", {Own, 0, 2, "c"}, TokenVerdict::Misrouted},
     {"a second time", {Own, 2, 1, "b"}, TokenVerdict::Duplicated},
     {"after a lost one", {Own, 2, 3, "d"}, TokenVerdict::Gap},
 };
@@ -51,7 +53,7 @@
     {"short", {Own, 2, 3}, EndVerdict::Truncated},
     {"shorter than what was taken", {Own, 2, 1}, EndVerdict::Truncated},
     {"of an attempt that is over", {Own, 1, 2}, EndVerdict::Late},
-    {"of another request", {RequestId("x"), 2, 2}, EndVerdict::Crossed},
+    {"of another request", {RequestId("x"), 2, 2}, EndVerdict::Misrouted},
 };
 
 std::ostream &operator<<(std::ostream &out, const EndRow &row) {
@@ -88,7 +90,7 @@
   BOOST_CHECK(answer.finish(row.End) == row.Verdict);
   BOOST_TEST(answer.hasEnded() == (row.Verdict == EndVerdict::Whole));
   BOOST_TEST(answer.hasAttempt() == (row.Verdict == EndVerdict::Late ||
-                                     row.Verdict == EndVerdict::Crossed));
+                                     row.Verdict == EndVerdict::Misrouted));
 }
 
 BOOST_AUTO_TEST_CASE(nothing_is_taken_after_the_end) {
--- a/Tests/LibDecision/TestCallTicket.cpp
+++ b/Tests/LibDecision/TestCallTicket.cpp
@@ -19,7 +19,7 @@
 
 BOOST_DATA_TEST_CASE(ticket_is_told_from_a_callers_own_key,
                      data::make(OtherKeyRows), text) {
-  BOOST_CHECK(!parseTicket(CallKey(text)));
+  BOOST_CHECK(!parseTicket(IdempotencyKey(text)));
 }
 
 BOOST_AUTO_TEST_CASE(ticket_survives_its_way_through_the_caller) {
--- a/Tests/LibDecision/TestCanaryJudge.cpp
+++ b/Tests/LibDecision/TestCanaryJudge.cpp
@@ -21,7 +21,7 @@
   EvidenceCount Old;
   EvidenceCount New;
   bool IsBad;
-  BadCall Reason;
+  BadCallKind Reason;
 };
 
 std::ostream &operator<<(std::ostream &out, const VerdictRow &row) {
@@ -36,9 +36,9 @@
      {1000, 10, 40},
      {100, 12, 4},
      true,
-     BadCall::Failure},
-    {"fails at once", {1000, 10, 40}, {6, 6, 0}, true, BadCall::Failure},
-    {"slow", {1000, 10, 40}, {100, 1, 30}, true, BadCall::Lateness},
+     BadCallKind::Failure},
+    {"fails at once", {1000, 10, 40}, {6, 6, 0}, true, BadCallKind::Failure},
+    {"slow", {1000, 10, 40}, {100, 1, 30}, true, BadCallKind::Lateness},
     {"slow while the old one is slow too",
      {1000, 10, 300},
      {100, 1, 30},
--- a/Tests/LibDecision/TestDeskCallRandomised.cpp
+++ b/Tests/LibDecision/TestDeskCallRandomised.cpp
@@ -1,4 +1,4 @@
-#include "DeskCallWorld.h"
+#include "DeskCallSimulation.h"
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
 #include <boost/test/unit_test.hpp>
@@ -15,10 +15,10 @@
   return raised ? std::strtoull(raised, nullptr, 10) : FixedSeeds;
 }
 
-static WorldCount runSeeds(std::uint64_t count, Omission omission) {
-  WorldCount sum;
+static SimulationCounts runSeeds(std::uint64_t count, Omission omission) {
+  SimulationCounts sum;
   for (std::uint64_t seed = 1; seed <= count; seed++)
-    sum += DeskCallWorld(seed, omission).run(Steps);
+    sum += DeskCallSimulation(seed, omission).run(Steps);
   return sum;
 }
 
@@ -28,7 +28,7 @@
 // A user would notice two crews at the door, or none although told that the
 // booking can safely be made again.
 BOOST_AUTO_TEST_CASE(desk_calls_randomised_run_at_most_once) {
-  const WorldCount sum = runSeeds(seedCount(), Omission::None);
+  const SimulationCounts sum = runSeeds(seedCount(), Omission::None);
   BOOST_TEST_MESSAGE(
       "events " << sum.Events << ", runs " << sum.Runs << ", done " << sum.Done
                 << ", not_run " << sum.NotRun << ", unknown " << sum.Unknown
@@ -47,7 +47,7 @@
 struct OmissionRow {
   const char *Name;
   Omission Omitted;
-  std::uint64_t WorldCount::*Found;
+  std::uint64_t SimulationCounts::*Found;
 };
 
 static std::ostream &operator<<(std::ostream &out, const OmissionRow &row) {
@@ -55,23 +55,25 @@
 }
 
 static const OmissionRow OmissionRows[] = {
-    {"intent before send", Omission::IntentBeforeSend, &WorldCount::DoubleRuns},
-    {"refusal of the key", Omission::RefusalOfTheKey, &WorldCount::FalseNotRun},
+    {"intent before send", Omission::IntentBeforeSend,
+     &SimulationCounts::DoubleRuns},
+    {"refusal of the key", Omission::RefusalOfTheKey,
+     &SimulationCounts::FalseNotRun},
     {"reread after a lost reply", Omission::RereadAfterLostReply,
-     &WorldCount::DoubleRuns},
+     &SimulationCounts::DoubleRuns},
     {"conditional update", Omission::ConditionalUpdate,
-     &WorldCount::DoubleRuns},
+     &SimulationCounts::DoubleRuns},
     {"single send after a loss", Omission::SingleSendAfterLoss,
-     &WorldCount::DoubleRuns},
-    {"ticket owner", Omission::TicketOwner, &WorldCount::DoubleRuns},
-    {"closed mark", Omission::ClosedMark, &WorldCount::FalseNotRun},
+     &SimulationCounts::DoubleRuns},
+    {"ticket owner", Omission::TicketOwner, &SimulationCounts::DoubleRuns},
+    {"closed mark", Omission::ClosedMark, &SimulationCounts::FalseNotRun},
 };
 
 // The same run with one part of the mechanism left out must break a promise,
 // else the checks above prove nothing.
 BOOST_DATA_TEST_CASE(desk_calls_randomised_find_each_omission,
                      data::make(OmissionRows), row) {
-  const WorldCount sum = runSeeds(FixedSeeds, row.Omitted);
+  const SimulationCounts sum = runSeeds(FixedSeeds, row.Omitted);
   BOOST_TEST_MESSAGE(row.Name << ": double runs " << sum.DoubleRuns << " of "
                               << sum.Runs << ", false not_run "
                               << sum.FalseNotRun << " of " << sum.NotRun);
--- a/Tests/LibDecision/TestMover.cpp
+++ b/Tests/LibDecision/TestHostPlanner.cpp
@@ -1,7 +1,7 @@
-#include "LibDecision/Mover.h"
-#include "LibDecision/MoverLease.h"
+#include "HostPlannerSimulation.h"
+#include "LibDecision/HostPlanner.h"
+#include "LibDecision/LeaderLease.h"
 #include "LibDecision/WeightLoads.h"
-#include "MoverWorld.h"
 #include "SoakSeeds.h"
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -35,7 +35,7 @@
 }
 
 HostOffer atMost(HostOffer offer, int hosts) {
-  offer.MostHosts = hosts;
+  offer.MaxHosts = hosts;
   return offer;
 }
 
@@ -91,13 +91,13 @@
 // it while one cheap offer after the other is tried.
 BOOST_AUTO_TEST_CASE(a_refused_start_near_the_deadline_goes_on_demand) {
   for (const bool isNear : {false, true}) {
-    Mover mover;
-    MoverView view;
+    HostPlanner mover;
+    HostPlannerInput view;
     view.Offers = {reclaimable("a", 300), reclaimable("b", 300),
                    reclaimable("c", 300), onDemand(1000)};
     view.Capacity = 2;
     view.Deadline = Start + (isNear ? minutes(4) : minutes(60));
-    MoverDecision decision = mover.decide({}, view, Start);
+    HostPlannerDecision decision = mover.decide({}, view, Start);
     BOOST_REQUIRE_EQUAL(decision.Creates.size(), 3U);
     mover.noteRefused(decision.Creates[0].From, Start);
     decision = mover.decide(decision.Plan, view, Start + seconds(1));
@@ -119,7 +119,7 @@
                                load("never", 900 * Gigabyte, minutes(11))},
                               1e9, Start);
   BOOST_REQUIRE_EQUAL(plan.size(), 3U);
-  BOOST_CHECK(plan[0].Load.Onto == UpstreamId("early"));
+  BOOST_CHECK(plan[0].Load.TargetUpstream == UpstreamId("early"));
   BOOST_CHECK(plan[0].IsInTime);
   BOOST_CHECK(plan[1].IsInTime);
   BOOST_CHECK(!plan[2].IsInTime);
@@ -143,13 +143,13 @@
 // back, the others would wait a whole term more for what the holder has told
 // them already, and a window of usage would be missed.
 BOOST_AUTO_TEST_CASE(what_the_holder_told_of_its_lease_counts_as_seen) {
-  MoverLeaseSettings settings;
+  LeaderLeaseSettings settings;
   settings.Term = seconds(4);
-  MoverLease lease(IncarnationId("me"), settings);
+  LeaderLease lease(IncarnationId("me"), settings);
   const Instant now{seconds(100)};
   lease.noteRead({IncarnationId("first"), 5}, now);
-  lease.noteTold({IncarnationId("second"), 7}, now + seconds(1));
-  lease.noteTold({IncarnationId("first"), 5}, now + seconds(2));
+  lease.noteReported({IncarnationId("second"), 7}, now + seconds(1));
+  lease.noteReported({IncarnationId("first"), 5}, now + seconds(2));
   BOOST_TEST((lease.step(now + seconds(2)) == LeaseStep::None));
   BOOST_TEST((lease.step(now + seconds(4)) != LeaseStep::Write));
   BOOST_TEST((lease.step(now + seconds(5)) == LeaseStep::Write));
@@ -160,7 +160,7 @@
 // A holder's renewal takes effect but its reply is lost. Reading back must find
 // that the lease is still its own, counted from the lost write's sending.
 BOOST_AUTO_TEST_CASE(a_lost_renewal_is_found_by_reading) {
-  MoverLease lease(IncarnationId("me"));
+  LeaderLease lease(IncarnationId("me"));
   lease.noteRead({}, Start);
   BOOST_CHECK(lease.step(Start) == LeaseStep::Write);
   lease.noteUnknown(Start, Start + seconds(1));
@@ -175,7 +175,7 @@
 namespace {
 
 struct FlawRow {
-  MoverFlaw Flaw;
+  HostPlannerFault Flaw;
   const char *Wanted;
 };
 
@@ -184,10 +184,11 @@
 }
 
 const FlawRow FlawRows[] = {
-    {MoverFlaw::TokenPerTry, "hosts at the end"},
-    {MoverFlaw::NoWaitOut, "an old order took effect"},
-    {MoverFlaw::OverlappingOrders, "an old order took effect"},
-    {MoverFlaw::OrdersBeforeStored, "a host was ordered that no stored plan"},
+    {HostPlannerFault::TokenPerTry, "hosts at the end"},
+    {HostPlannerFault::NoWaitOut, "an old order took effect"},
+    {HostPlannerFault::OverlappingOrders, "an old order took effect"},
+    {HostPlannerFault::OrdersBeforeStored,
+     "a host was ordered that no stored plan"},
 };
 
 } // namespace
@@ -197,9 +198,10 @@
 // or an engine would drop the version that callers are sent to.
 BOOST_AUTO_TEST_CASE(randomised_movers_buy_once_and_never_undo) {
   for (std::uint64_t seed = 1; seed <= soakSeeds(20); ++seed)
-    BOOST_CHECK_MESSAGE(MoverWorld(seed, MoverFlaw::None).run().empty(),
-                        "seed " << seed << ": "
-                                << MoverWorld(seed, MoverFlaw::None).run());
+    BOOST_CHECK_MESSAGE(
+        HostPlannerSimulation(seed, HostPlannerFault::None).run().empty(),
+        "seed " << seed << ": "
+                << HostPlannerSimulation(seed, HostPlannerFault::None).run());
 }
 
 // The same run with flawed movers: the checks must see it.
@@ -207,7 +209,7 @@
                      boost::unit_test::data::make(FlawRows), row) {
   int caught = 0;
   for (std::uint64_t seed = 1; seed <= soakSeeds(20); ++seed) {
-    const std::string broken = MoverWorld(seed, row.Flaw).run();
+    const std::string broken = HostPlannerSimulation(seed, row.Flaw).run();
     caught += broken.find(row.Wanted) != std::string::npos ? 1 : 0;
   }
   BOOST_TEST_MESSAGE(row.Wanted << ": " << caught);
--- a/Tests/LibDecision/TestLeavingUpstreams.cpp
+++ b/Tests/LibDecision/TestLeavingUpstreams.cpp
@@ -17,8 +17,8 @@
 LeavingUpstreams freshSet() {
   LeavingUpstreams set;
   set.noteTick(Start);
-  set.notePeerHeard(Start);
-  set.noteStays(Engine, Start);
+  set.notePeerAnswered(Start);
+  set.noteStayConfirmed(Engine, Start);
   return set;
 }
 
@@ -49,7 +49,7 @@
     {"a notice, and the upstream's older word",
      [](LeavingUpstreams &set) {
        set.noteLeaving({Engine, Start + seconds(10)});
-       set.noteStays(Engine, Start);
+       set.noteStayConfirmed(Engine, Start);
      },
      milliseconds(500), NewWork::Refused},
     {"the upstream's word is old",
@@ -59,13 +59,13 @@
     {"paused, and a peer's answer from before",
      [](LeavingUpstreams &set) {
        set.noteTick(Start + seconds(20));
-       set.notePeerHeard(Start + milliseconds(900));
+       set.notePeerAnswered(Start + milliseconds(900));
      },
      seconds(20), NewWork::AskPeers},
     {"paused, and a peer's answer since",
      [](LeavingUpstreams &set) {
        set.noteTick(Start + seconds(20));
-       set.notePeerHeard(Start + seconds(20));
+       set.notePeerAnswered(Start + seconds(20));
      },
      seconds(20), NewWork::AskUpstream},
     {"paused, and no peer answers",
@@ -77,8 +77,8 @@
      [](LeavingUpstreams &set) {
        set.noteLeaving({Engine, Start + seconds(10)});
        tickUntil(set, Start, Start + seconds(140));
-       set.notePeerHeard(Start + seconds(140));
-       set.noteStays(Engine, Start + seconds(140));
+       set.notePeerAnswered(Start + seconds(140));
+       set.noteStayConfirmed(Engine, Start + seconds(140));
      },
      seconds(140), NewWork::Allowed},
 };
@@ -201,7 +201,7 @@
       if (isLeaving)
         set.noteLeaving({plan.Id, plan.GoneAt});
       else
-        set.noteStays(plan.Id, askedAt);
+        set.noteStayConfirmed(plan.Id, askedAt);
     });
   }
 
@@ -215,7 +215,7 @@
       for (const LeavingNotice &it : notices)
         set.noteLeaving(it);
       if (isFresh)
-        set.notePeerHeard(askedAt);
+        set.notePeerAnswered(askedAt);
     });
   }
 
--- a/Tests/LibDecision/TestLedgerBucket.cpp
+++ b/Tests/LibDecision/TestLedgerBucket.cpp
@@ -14,7 +14,7 @@
                            const std::string &key = "booking-1") {
   LedgerEdit edit;
   edit.Kind = kind;
-  edit.Call = {TeamId("north"), CallKey(key)};
+  edit.Call = {TeamId("north"), IdempotencyKey(key)};
   edit.Attempt = attempt;
   edit.Owner = IncarnationId("host-a");
   edit.Nonce = nonce;
--- a/Tests/LibDecision/TestPeerChoice.cpp
+++ b/Tests/LibDecision/TestPeerChoice.cpp
@@ -124,13 +124,13 @@
   PeerKnowledge ab = a;
   PeerKnowledge ba = b;
   BOOST_CHECK(merge(ab, b));
-  BOOST_CHECK(merge(ba, newsFor(a, b)));
-  BOOST_CHECK(isEmpty(newsFor(ab, ba)) && isEmpty(newsFor(ba, ab)));
+  BOOST_CHECK(merge(ba, deltaFor(a, b)));
+  BOOST_CHECK(isEmpty(deltaFor(ab, ba)) && isEmpty(deltaFor(ba, ab)));
   BOOST_CHECK(!merge(ab, b));
   BOOST_CHECK_EQUAL(ab.Bundle.Generation, 7);
   BOOST_CHECK(ab.Leaving.at(UpstreamId("u1")) == Instant(seconds(30)));
   BOOST_CHECK_EQUAL(ab.Hosts.at(HostId("h1")).Sequence, 4);
-  forgetLeft(ab, Instant(seconds(31)));
+  eraseExpiredLeaving(ab, Instant(seconds(31)));
   BOOST_CHECK(ab.Leaving.empty());
 }
 
--- a/Tests/LibDecision/TestPlacement.cpp
+++ b/Tests/LibDecision/TestPlacement.cpp
@@ -155,9 +155,10 @@
   table.note(upstream, ConversationKey("b"), 20);
   table.note(upstream, ConversationKey("a"), 30);
   table.note(upstream, ConversationKey("c"), 40);
-  BOOST_CHECK_EQUAL(table.tokensAt(upstream, ConversationKey("a")), 30);
-  BOOST_CHECK_EQUAL(table.tokensAt(upstream, ConversationKey("b")), 0);
-  BOOST_CHECK_EQUAL(table.tokensAt(UpstreamId("2"), ConversationKey("c")), 0);
+  BOOST_CHECK_EQUAL(table.cachedTokensAt(upstream, ConversationKey("a")), 30);
+  BOOST_CHECK_EQUAL(table.cachedTokensAt(upstream, ConversationKey("b")), 0);
+  BOOST_CHECK_EQUAL(table.cachedTokensAt(UpstreamId("2"), ConversationKey("c")),
+                    0);
   table.forget(upstream);
   BOOST_CHECK_EQUAL(table.size(), 0U);
 }
--- a/Tests/LibDecision/TestRecoveryPlan.cpp
+++ b/Tests/LibDecision/TestRecoveryPlan.cpp
@@ -266,7 +266,7 @@
 BOOST_DATA_TEST_CASE(randomised_runs_without_checked_arrivals_fail,
                      boost::unit_test::data::make(FaultRows), faults) {
   const bool touchesTokens = faults.Faults.Lost + faults.Faults.Late +
-                                 faults.Faults.Crossed +
+                                 faults.Faults.Misrouted +
                                  faults.Faults.Duplicated >
                              0;
   const std::uint64_t n =
--- a/Tests/LibDecision/TestRollout.cpp
+++ b/Tests/LibDecision/TestRollout.cpp
@@ -10,8 +10,8 @@
 const HostId Self("127.0.0.1");
 const EvidenceSource Source{Self, IncarnationId("a")};
 
-MovePlan planFor(DeadlinePolicy policy) {
-  MovePlan plan;
+RolloutPlan planFor(DeadlinePolicy policy) {
+  RolloutPlan plan;
   plan.New = VersionId("new");
   plan.Old = VersionId("old");
   plan.Policy = policy;
@@ -183,12 +183,12 @@
   const std::vector<UpstreamId> all = {
       UpstreamId("127.0.0.1:1"), UpstreamId("127.0.0.1:2"),
       UpstreamId("127.0.0.1:3"), UpstreamId("127.0.0.1:4")};
-  const auto one = packedReplicas(all, 0.02, 0.25);
-  const auto two = packedReplicas(all, 0.5, 0.25);
+  const auto one = canaryReplicas(all, 0.02, 0.25);
+  const auto two = canaryReplicas(all, 0.5, 0.25);
   BOOST_CHECK_EQUAL(one.size(), 1U);
   BOOST_CHECK_EQUAL(two.size(), 2U);
   BOOST_CHECK(one.front() == two.front());
-  BOOST_CHECK_EQUAL(packedReplicas(all, 1, 0.25).size(), 4U);
+  BOOST_CHECK_EQUAL(canaryReplicas(all, 1, 0.25).size(), 4U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
