--- a/Libraries/LibLoad/EngineModel.cpp
+++ b/Libraries/LibLoad/EngineModel.cpp
@@ -47,13 +47,13 @@
   return std::exp2(-age / toSeconds(Settings.SlownessHalfLife));
 }
 
-void EngineModel::note(const UpstreamId &upstream, const FirstTokenSeen &seen,
+void EngineModel::note(const UpstreamId &upstream, const FirstTokenSample &seen,
                        Instant now) {
   const auto tokens = static_cast<double>(seen.Tokens);
   const double took = toSeconds(seen.Took) * 1000;
   if (tokens < 0 || tokens > MostTokens || took < 0 || took > LongestTook)
     return;
-  const double expected = Base + readingTime(tokens);
+  const double expected = Base + prefillTime(tokens);
   const double slowness = slownessOf(upstream, now);
   Pace &pace = Upstreams[upstream];
   const double left = leftOf(pace, now);
--- a/Libraries/LibLoad/EngineModel.h
+++ b/Libraries/LibLoad/EngineModel.h
@@ -8,7 +8,7 @@
 namespace sorrelbay {
 
 /// How long an upstream took to a first token, and for how much.
-struct FirstTokenSeen {
+struct FirstTokenSample {
   /// Prompt tokens that it had to read until then: the call's own that weren't
   /// cached, and those of the calls ahead of it.
   std::int64_t Tokens = 0;
@@ -48,19 +48,19 @@
 public:
   explicit EngineModel(EngineModelSettings settings = {});
 
-  void note(const UpstreamId &upstream, const FirstTokenSeen &seen,
+  void note(const UpstreamId &upstream, const FirstTokenSample &seen,
             Instant now);
   void forget(const UpstreamId &upstream) { Upstreams.erase(upstream); }
 
   /// Milliseconds that reading so many prompt tokens takes at an upstream of
   /// usual speed.
-  double readingTime(double tokens) const { return PerToken * tokens; }
+  double prefillTime(double tokens) const { return PerToken * tokens; }
   /// By how much the upstream is slower than that.
   double slownessOf(const UpstreamId &upstream, Instant now) const;
   /// Milliseconds from the send to the first token, besides reading.
   double base() const { return Base; }
   /// Whether enough was seen to turn calls away by it.
-  bool isSure() const { return Seen >= Settings.EnoughSeen; }
+  bool hasEnoughSamples() const { return Seen >= Settings.EnoughSeen; }
 
 private:
   /// Decayed sums over observations: x is tokens, y milliseconds.
--- a/Libraries/LibLoad/PromptCache.cpp
+++ b/Libraries/LibLoad/PromptCacheEstimate.cpp
@@ -1,4 +1,4 @@
-#include "LibLoad/PromptCache.h"
+#include "LibLoad/PromptCacheEstimate.h"
 #include "LibBase/Hash.h"
 #include <cmath>
 
@@ -10,13 +10,13 @@
 }
 
 /// The uses of the last while, about.
-double PromptCache::fresh(const Use &use, Instant now) const {
+double PromptCacheEstimate::fresh(const Use &use, Instant now) const {
   const double age = toSeconds(now - use.At) / toSeconds(Settings.Kept);
   return use.Count * std::exp(-std::max(0.0, age));
 }
 
-void PromptCache::note(const UpstreamId &upstream, const std::string &part,
-                       Instant now) {
+void PromptCacheEstimate::note(const UpstreamId &upstream,
+                               const std::string &part, Instant now) {
   if (size() >= Settings.MostEntries)
     prune(now);
   Sent[placeOf(upstream, part)] = now;
@@ -25,9 +25,9 @@
   use.At = now;
 }
 
-double PromptCache::likelihood(const UpstreamId &upstream,
-                               const std::string &part, double hosts,
-                               double upstreams, Instant now) const {
+double PromptCacheEstimate::likelihood(const UpstreamId &upstream,
+                                       const std::string &part, double hosts,
+                                       double upstreams, Instant now) const {
   const auto use = Uses.find(part);
   if (use == Uses.end())
     return 0;
@@ -40,7 +40,7 @@
 }
 
 /// Drops what is old; all of it if everything is new.
-void PromptCache::prune(Instant now) {
+void PromptCacheEstimate::prune(Instant now) {
   for (auto it = Sent.begin(); it != Sent.end();)
     it = now - it->second > Settings.Kept ? Sent.erase(it) : std::next(it);
   for (auto it = Uses.begin(); it != Uses.end();)
--- a/Libraries/LibLoad/PromptCache.h
+++ b/Libraries/LibLoad/PromptCacheEstimate.h
@@ -9,7 +9,7 @@
 
 namespace sorrelbay {
 
-struct PromptCacheSettings {
+struct PromptCacheEstimateSettings {
   /// A part that wasn't used for so long may have yielded to others.
   Duration Kept = seconds(10);
   /// Parts and places that are remembered at the most.
@@ -20,9 +20,9 @@
 /// sent them there lately, or callers use the part so much that each upstream
 /// has read it. A wrong belief costs time, never a wrong answer. Not
 /// thread-safe.
-class PromptCache {
+class PromptCacheEstimate {
 public:
-  explicit PromptCache(PromptCacheSettings settings = {})
+  explicit PromptCacheEstimate(PromptCacheEstimateSettings settings = {})
       : Settings(settings) {}
 
   /// A call with that part was sent to the upstream.
@@ -43,7 +43,7 @@
   double fresh(const Use &use, Instant now) const;
   void prune(Instant now);
 
-  PromptCacheSettings Settings;
+  PromptCacheEstimateSettings Settings;
   std::unordered_map<std::uint64_t, Instant> Sent;
   std::unordered_map<std::string, Use> Uses;
 };
--- a/Libraries/LibLoad/FirstTokenLimits.cpp
+++ b/Libraries/LibLoad/QueueWaitLimits.cpp
@@ -1,16 +1,16 @@
-#include "LibLoad/FirstTokenLimits.h"
+#include "LibLoad/QueueWaitLimits.h"
 #include <algorithm>
 
 namespace sorrelbay {
 
-void FirstTokenLimits::add(const PromptUrgency &urgency) {
+void QueueWaitLimits::add(const PromptClass &urgency) {
   if (urgency.LatencyTarget <= Duration::zero())
     return;
   Duration &target = Targets[urgency.OfService][urgency.Priority];
   target = std::max(target, urgency.LatencyTarget);
 }
 
-Duration FirstTokenLimits::longestWait(const PromptUrgency &urgency) const {
+Duration QueueWaitLimits::maxQueueWait(const PromptClass &urgency) const {
   if (urgency.LatencyTarget <= Duration::zero())
     return Duration::zero();
   Duration target = urgency.LatencyTarget;
@@ -19,7 +19,7 @@
     for (const auto &[priority, it] : service->second)
       if (priority >= urgency.Priority)
         target = std::max(target, it);
-  return fromSeconds(toSeconds(target) * WaitingShare);
+  return fromSeconds(toSeconds(target) * QueueWaitShare);
 }
 
 } // namespace sorrelbay
--- a/Libraries/LibLoad/FirstTokenLimits.h
+++ b/Libraries/LibLoad/QueueWaitLimits.h
@@ -7,7 +7,7 @@
 namespace sorrelbay {
 
 /// A kind of call as far as its place in a queue of prompts goes.
-struct PromptUrgency {
+struct PromptClass {
   ServiceId OfService;
   /// 0 goes first.
   int Priority = 0;
@@ -23,18 +23,18 @@
 /// prompt, so that large prompts are turned away no more often than small ones,
 /// and it is never lower for an urgent kind of call than for a less urgent one.
 /// Not thread-safe.
-class FirstTokenLimits {
+class QueueWaitLimits {
 public:
   /// The part of a latency target that may go by in waiting for others.
-  explicit FirstTokenLimits(double waitingShare = 0.45)
-      : WaitingShare(waitingShare) {}
+  explicit QueueWaitLimits(double queueWaitShare = 0.45)
+      : QueueWaitShare(queueWaitShare) {}
 
-  void add(const PromptUrgency &urgency);
+  void add(const PromptClass &urgency);
   /// The longest wait for others; nothing is turned away where it is zero.
-  Duration longestWait(const PromptUrgency &urgency) const;
+  Duration maxQueueWait(const PromptClass &urgency) const;
 
 private:
-  double WaitingShare;
+  double QueueWaitShare;
   /// The largest target of each priority, by service.
   std::map<ServiceId, std::map<int, Duration>> Targets;
 };
--- a/Tests/LibLoad/TestEngineModel.cpp
+++ b/Tests/LibLoad/TestEngineModel.cpp
@@ -56,12 +56,12 @@
                      boost::unit_test::data::make(Engines), engine) {
   EngineModel model;
   Instant now{seconds(100)};
-  BOOST_TEST(!model.isSure());
+  BOOST_TEST(!model.hasEnoughSamples());
   show(model, Usual, engine, 150, now);
-  BOOST_TEST(model.isSure());
+  BOOST_TEST(model.hasEnoughSamples());
   const double expected = engine.PerToken * 5000;
-  BOOST_TEST(model.readingTime(5000) > 0.8 * expected);
-  BOOST_TEST(model.readingTime(5000) < 1.2 * expected);
+  BOOST_TEST(model.prefillTime(5000) > 0.8 * expected);
+  BOOST_TEST(model.prefillTime(5000) < 1.2 * expected);
   BOOST_TEST(model.slownessOf(Usual, now) > 0.75);
   BOOST_TEST(model.slownessOf(Usual, now) < 1.3);
 }
@@ -72,11 +72,11 @@
   EngineModel model;
   Instant now{seconds(100)};
   show(model, Usual, Engines[1], 100, now);
-  const double before = model.readingTime(5000);
+  const double before = model.prefillTime(5000);
   show(model, Other, {"slowed", 265, 0.035}, 6, now);
   BOOST_TEST(model.slownessOf(Other, now) > 2);
   BOOST_TEST(model.slownessOf(Usual, now) < 1.3);
-  BOOST_TEST(model.readingTime(5000) < 2 * before);
+  BOOST_TEST(model.prefillTime(5000) < 2 * before);
   // It is tried again some time later.
   now += seconds(30);
   BOOST_TEST(model.slownessOf(Other, now) < 1.2);
@@ -87,24 +87,24 @@
   Instant now{seconds(100)};
   show(model, Usual, Engines[1], 300, now);
   show(model, Usual, Engines[2], 400, now);
-  BOOST_TEST(model.readingTime(5000) > 0.75 * Engines[2].PerToken * 5000);
+  BOOST_TEST(model.prefillTime(5000) > 0.75 * Engines[2].PerToken * 5000);
 }
 
 BOOST_AUTO_TEST_CASE(what_cannot_be_is_not_learned) {
   EngineModel model;
   Instant now{seconds(100)};
   show(model, Usual, Engines[1], 50, now);
-  const double before = model.readingTime(5000);
+  const double before = model.prefillTime(5000);
   model.note(Usual, {-5, milliseconds(100)}, now);
   model.note(Usual, {std::numeric_limits<std::int64_t>::max(), seconds(1)},
              now);
   model.note(Usual, {100, seconds(-3)}, now);
   model.note(Usual, {100, hours(7)}, now);
-  BOOST_TEST(model.readingTime(5000) == before);
+  BOOST_TEST(model.prefillTime(5000) == before);
   // Times that don't grow with the prompt still give a speed in its range.
   for (int n = 0; n < 500; ++n)
     model.note(Usual, {9000 - n * 10, milliseconds(n * 20)}, now);
-  BOOST_TEST(model.readingTime(1) > 0);
+  BOOST_TEST(model.prefillTime(1) > 0);
   BOOST_TEST(model.slownessOf(Usual, now) <= 8);
 }
 
--- a/Tests/LibLoad/TestSmallParts.cpp
+++ b/Tests/LibLoad/TestSmallParts.cpp
@@ -1,6 +1,6 @@
 #include "LibLoad/EngineDemand.h"
-#include "LibLoad/FirstTokenLimits.h"
-#include "LibLoad/PromptCache.h"
+#include "LibLoad/PromptCacheEstimate.h"
+#include "LibLoad/QueueWaitLimits.h"
 #include <boost/test/unit_test.hpp>
 #include <cmath>
 #include <limits>
@@ -18,7 +18,7 @@
 BOOST_AUTO_TEST_SUITE(prompt_cache)
 
 BOOST_AUTO_TEST_CASE(a_part_is_where_it_was_sent_lately) {
-  PromptCache cache;
+  PromptCacheEstimate cache;
   const Instant now{seconds(100)};
   BOOST_TEST(cache.likelihood(First, "a", 1, 20, now) == 0);
   cache.note(First, "a", now);
@@ -31,7 +31,7 @@
 // them for some host; a host that goes by its own sends alone would keep calls
 // at upstreams that have much more to do.
 BOOST_AUTO_TEST_CASE(a_part_that_is_used_much_is_everywhere) {
-  PromptCache cache;
+  PromptCacheEstimate cache;
   Instant now{seconds(100)};
   for (int n = 0; n < 20; ++n, now += milliseconds(100))
     cache.note(First, "a", now);
@@ -40,7 +40,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(it_stays_bounded) {
-  PromptCache cache({seconds(10), 100});
+  PromptCacheEstimate cache({seconds(10), 100});
   Instant now{seconds(100)};
   for (int n = 0; n < 1000; ++n, now += milliseconds(1))
     cache.note(First, "part" + std::to_string(n), now);
@@ -86,24 +86,24 @@
 // that is less urgent. With a limit by its own target alone it would be turned
 // away where the other is let in.
 BOOST_AUTO_TEST_CASE(an_urgent_call_may_wait_as_long_as_a_less_urgent_one) {
-  FirstTokenLimits limits(0.5);
-  const PromptUrgency urgent{Model, 0, milliseconds(800)};
-  const PromptUrgency middle{Model, 1, milliseconds(1000)};
-  const PromptUrgency least{Model, 2, milliseconds(600)};
-  for (const PromptUrgency &it : {urgent, middle, least})
+  QueueWaitLimits limits(0.5);
+  const PromptClass urgent{Model, 0, milliseconds(800)};
+  const PromptClass middle{Model, 1, milliseconds(1000)};
+  const PromptClass least{Model, 2, milliseconds(600)};
+  for (const PromptClass &it : {urgent, middle, least})
     limits.add(it);
-  BOOST_TEST((limits.longestWait(urgent) == milliseconds(500)));
-  BOOST_TEST((limits.longestWait(middle) == milliseconds(500)));
-  BOOST_TEST((limits.longestWait(least) == milliseconds(300)));
-  const PromptUrgency elsewhere{ServiceId("other"), 0, milliseconds(200)};
-  BOOST_TEST((limits.longestWait(elsewhere) == milliseconds(100)));
+  BOOST_TEST((limits.maxQueueWait(urgent) == milliseconds(500)));
+  BOOST_TEST((limits.maxQueueWait(middle) == milliseconds(500)));
+  BOOST_TEST((limits.maxQueueWait(least) == milliseconds(300)));
+  const PromptClass elsewhere{ServiceId("other"), 0, milliseconds(200)};
+  BOOST_TEST((limits.maxQueueWait(elsewhere) == milliseconds(100)));
 }
 
 BOOST_AUTO_TEST_CASE(without_a_target_nothing_is_turned_away) {
-  FirstTokenLimits limits;
+  QueueWaitLimits limits;
   limits.add({Model, 1, milliseconds(1000)});
   BOOST_TEST(
-      (limits.longestWait({Model, 0, Duration::zero()}) == Duration::zero()));
+      (limits.maxQueueWait({Model, 0, Duration::zero()}) == Duration::zero()));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
