--- a/Libraries/LibPeer/FleetLink.cpp
+++ b/Libraries/LibPeer/FleetLink.cpp
@@ -54,7 +54,7 @@
     if (const auto *report = std::get_if<FleetReport>(&message))
       Told.OnReport(*report);
     else
-      Told.OnNews(std::get<KindNews>(message));
+      Told.OnRelayedChanges(std::get<RelayedChanges>(message));
   } catch (const PeerMessageRefused &error) {
     LogLine(Severity::Warning, "peer message refused")
         .field("why", error.what());
--- a/Libraries/LibPeer/FleetLink.h
+++ b/Libraries/LibPeer/FleetLink.h
@@ -23,7 +23,7 @@
 public:
   struct Hooks {
     std::function<void(const FleetReport &)> OnReport;
-    std::function<void(const KindNews &)> OnNews;
+    std::function<void(const RelayedChanges &)> OnRelayedChanges;
   };
 
   /// Listens on "ip:port". Throws PeerListenFailed.
--- a/Libraries/LibPeer/FleetReportCodec.cpp
+++ b/Libraries/LibPeer/FleetReportCodec.cpp
@@ -19,9 +19,10 @@
 }
 
 json fromMember(const FleetMember &it) {
-  return {it.Host.text(),   it.Zone.text(), it.PeerAddress, it.CallerAddress,
-          it.IsReady,       it.IsLeaving,   it.IsCutOff,    it.HoldsDuties,
-          it.LeaseRevision, it.Fencing,     it.Capacity};
+  return {it.Host.text(),        it.Zone.text(), it.PeerAddress,
+          it.CallerAddress,      it.IsReady,     it.IsLeaving,
+          it.IsStoreUnreachable, it.HoldsDuties, it.LeaseRevision,
+          it.FencingToken,       it.Capacity};
 }
 
 FleetMember toMember(const json &from) {
@@ -32,10 +33,10 @@
   from.at(3).get_to(out.CallerAddress);
   from.at(4).get_to(out.IsReady);
   from.at(5).get_to(out.IsLeaving);
-  from.at(6).get_to(out.IsCutOff);
+  from.at(6).get_to(out.IsStoreUnreachable);
   from.at(7).get_to(out.HoldsDuties);
   from.at(8).get_to(out.LeaseRevision);
-  from.at(9).get_to(out.Fencing);
+  from.at(9).get_to(out.FencingToken);
   from.at(10).get_to(out.Capacity);
   return out;
 }
@@ -67,7 +68,7 @@
   all.at(6).get_to(report.Sequence);
   report.Uptime = Duration(all.at(7).get<std::int64_t>());
   all.at(8).get_to(report.SentAt);
-  all.at(9).get_to(report.TrueTimeMs);
+  all.at(9).get_to(report.FleetTimeMs);
   for (const json &it : all.at(10))
     report.Members.push_back(toMember(it));
   for (const json &it : all.at(11))
@@ -90,19 +91,19 @@
   return report;
 }
 
-KindNews toNews(const json &all) {
-  KindNews news;
+RelayedChanges toNews(const json &all) {
+  RelayedChanges news;
   const auto kind = all.at(2).get<std::size_t>();
-  if (kind >= StoreKindCount)
+  if (kind >= ResourceKindCount)
     throw PeerMessageRefused("news of an unknown kind");
-  news.Kind = static_cast<StoreKind>(kind);
+  news.Kind = static_cast<ResourceKind>(kind);
   all.at(3).get_to(news.From);
-  all.at(4).get_to(news.Changes.AsOf);
-  all.at(5).get_to(news.IsLeftOut);
+  all.at(4).get_to(news.Changes.AtRevision);
+  all.at(5).get_to(news.IsTruncated);
   news.Age = Duration(all.at(6).get<std::int64_t>());
   all.at(7).get_to(news.Echo);
   for (const json &it : all.at(8)) {
-    KindChange change;
+    ResourceChange change;
     it.at(0).get_to(change.Object.Name);
     it.at(1).get_to(change.Object.Body);
     it.at(2).get_to(change.Object.Status);
@@ -135,19 +136,20 @@
                   static_cast<int>(report.Scope), report.Reporter.text(),
                   report.Zone.text(), report.Incarnation.text(),
                   report.Sequence, report.Uptime.count(), report.SentAt,
-                  report.TrueTimeMs, members, open, fromTeams(report.Used),
+                  report.FleetTimeMs, members, open, fromTeams(report.Used),
                   fromTeams(report.Levels), usage, report.Moves,
                   fromTeams(report.Pace), demand, included});
 }
 
-std::string encodeFleetMessage(const KindNews &news) {
+std::string encodeFleetMessage(const RelayedChanges &news) {
   json changes = json::array();
-  for (const KindChange &it : news.Changes.Changes)
+  for (const ResourceChange &it : news.Changes.Changes)
     changes.push_back({it.Object.Name, it.Object.Body, it.Object.Status,
                        it.Object.Revision, it.IsRemoved});
   return toBytes({FormatNumber, static_cast<int>(MessageKind::News),
-                  static_cast<int>(news.Kind), news.From, news.Changes.AsOf,
-                  news.IsLeftOut, news.Age.count(), news.Echo, changes});
+                  static_cast<int>(news.Kind), news.From,
+                  news.Changes.AtRevision, news.IsTruncated, news.Age.count(),
+                  news.Echo, changes});
 }
 
 FleetMessage decodeFleetMessage(const std::string &bytes) {
--- a/Libraries/LibPeer/FleetReportCodec.h
+++ b/Libraries/LibPeer/FleetReportCodec.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "LibObjectApi/KindStore.h"
+#include "LibObjectApi/ResourceStore.h"
 #include "LibServing/FleetReport.h"
 #include <string>
 #include <variant>
@@ -8,11 +8,11 @@
 namespace sorrelbay {
 
 /// What entry hosts send each other.
-using FleetMessage = std::variant<FleetReport, KindNews>;
+using FleetMessage = std::variant<FleetReport, RelayedChanges>;
 
 /// Either as CBOR.
 std::string encodeFleetMessage(const FleetReport &report);
-std::string encodeFleetMessage(const KindNews &news);
+std::string encodeFleetMessage(const RelayedChanges &news);
 /// The inverse. Throws PeerMessageRefused.
 FleetMessage decodeFleetMessage(const std::string &bytes);
 
--- a/Libraries/LibPeer/HostTable.cpp
+++ b/Libraries/LibPeer/HostTable.cpp
@@ -24,13 +24,13 @@
          at - it->second.LastAt <= livingFor;
 }
 
-bool HostTable::isPromising(const HostId &host, Instant at) const {
+bool HostTable::isWorthConnecting(const HostId &host, Instant at) const {
   const auto it = All.find(host);
   return it != All.end() && at - it->second.LastAt <= PromisingFor;
 }
 
-void HostTable::forgetDead(PeerKnowledge &knowledge, const HostId &self,
-                           Instant at) {
+void HostTable::eraseDeadHosts(PeerKnowledge &knowledge, const HostId &self,
+                               Instant at) {
   for (auto it = All.begin(); it != All.end();) {
     if (it->first == self || at - it->second.LastAt <= RememberedFor) {
       ++it;
--- a/Libraries/LibPeer/HostTable.h
+++ b/Libraries/LibPeer/HostTable.h
@@ -17,10 +17,10 @@
   /// A first report proves nothing; a peer may remember it from long ago.
   bool isLiving(const HostId &host, Instant at, Duration livingFor) const;
   /// Whether it is worth a try to connect there.
-  bool isPromising(const HostId &host, Instant at) const;
+  bool isWorthConnecting(const HostId &host, Instant at) const;
   /// Drops the hosts that were not heard of for long, here and in the
   /// knowledge.
-  void forgetDead(PeerKnowledge &knowledge, const HostId &self, Instant at);
+  void eraseDeadHosts(PeerKnowledge &knowledge, const HostId &self, Instant at);
 
 private:
   struct Heard {
--- a/Libraries/LibPeer/MeshCounts.h
+++ b/Libraries/LibPeer/MeshCounts.h
@@ -6,13 +6,13 @@
 
 /// Counts since the start, for metrics.
 struct MeshCounts {
-  std::uint64_t WrongHellos = 0;
+  std::uint64_t HandshakeFailures = 0;
   std::uint64_t RefusedMessages = 0;
   std::uint64_t RefusedBundles = 0;
-  std::uint64_t SilentLinks = 0;
+  std::uint64_t SilenceTimeouts = 0;
   std::uint64_t LiveLinks = 0;
-  std::uint64_t NewsSent = 0;
-  std::uint64_t NewsBytesSent = 0;
+  std::uint64_t UpdatesSent = 0;
+  std::uint64_t UpdateBytesSent = 0;
 };
 
 } // namespace sorrelbay
--- a/Libraries/LibPeer/MeshState.cpp
+++ b/Libraries/LibPeer/MeshState.cpp
@@ -33,12 +33,12 @@
     drop(All.begin()->first);
 }
 
-void MeshState::noticePause(Instant at) {
+void MeshState::detectPause(Instant at) {
   // After a pause (a stopped process, a frozen machine) the sockets still hold
   // messages from before it. Taken for signs of life they would make old
   // knowledge look fresh, so the connections go and new ones bring what holds
   // now.
-  const bool wasPaused = at - LastEventAt > pace().SilenceLimit;
+  const bool wasPaused = at - LastEventAt > pace().SilenceTimeout;
   LastEventAt = at;
   if (wasPaused)
     dropAll();
@@ -52,10 +52,10 @@
 }
 
 void MeshState::accepted(ConnectionId connection, Instant at) {
-  noticePause(at);
+  detectPause(at);
   std::size_t greetings = 0;
   for (const auto &entry : All)
-    greetings += entry.second.Stage == LinkStage::Greeting ? 1 : 0;
+    greetings += entry.second.Stage == LinkStage::Handshaking ? 1 : 0;
   if (greetings >= MaxGreetings) {
     Transport.Close(connection);
     return;
@@ -65,20 +65,20 @@
 }
 
 void MeshState::opened(ConnectionId connection, Instant at) {
-  noticePause(at);
+  detectPause(at);
   if (All.count(connection) != 0)
     greet(connection, at);
 }
 
 void MeshState::greet(ConnectionId connection, Instant at) {
   PeerLink &link = All.at(connection);
-  link.Stage = LinkStage::Greeting;
-  link.HeardAt = at;
+  link.Stage = LinkStage::Handshaking;
+  link.LastSeenAt = at;
   send(connection, link.own());
 }
 
 void MeshState::closed(ConnectionId connection, Instant at) {
-  noticePause(at);
+  detectPause(at);
   All.erase(connection);
   Requests.connectionClosed(connection);
 }
@@ -95,15 +95,15 @@
 
 void MeshState::received(ConnectionId connection, const std::string &bytes,
                          Instant at) {
-  noticePause(at);
+  detectPause(at);
   const auto it = All.find(connection);
   if (it == All.end())
     return;
-  it->second.HeardAt = at;
+  it->second.LastSeenAt = at;
   try {
     handle(connection, decodePeerMessage(bytes), at);
-  } catch (const PeerHelloWrong &error) {
-    ++Counts.WrongHellos;
+  } catch (const PeerHandshakeFailed &error) {
+    ++Counts.HandshakeFailures;
     LogLine(Severity::Warning, "wrong peer hello").field("why", error.what());
     drop(connection);
   } catch (const PeerMessageRefused &error) {
@@ -135,11 +135,11 @@
     return;
   }
   if (link.Stage != LinkStage::Live)
-    throw PeerHelloWrong("a peer spoke before it proved who it is");
+    throw PeerHandshakeFailed("a peer spoke before it proved who it is");
   handleLive(connection, message, at);
 }
 
-bool MeshState::giveWayToTwin(ConnectionId connection) {
+bool MeshState::dropDuplicateLink(ConnectionId connection) {
   const PeerLink &link = All.at(connection);
   for (const auto &[twinConnection, twin] : All) {
     if (twinConnection == connection || twin.Stage != LinkStage::Live ||
@@ -163,13 +163,13 @@
 }
 
 void MeshState::becomeLive(ConnectionId connection, Instant at) {
-  if (giveWayToTwin(connection))
+  if (dropDuplicateLink(connection))
     return;
   PeerLink &link = All.at(connection);
   Transport.Trust(connection);
   link.UsedAt = at;
   Heard.noteAlive(link.host(), at);
-  sendNews(connection, Mine);
+  sendUpdate(connection, Mine);
   sendRequests();
 }
 
@@ -177,7 +177,7 @@
                            Instant at) {
   const HostId host = All.at(connection).host();
   Heard.noteAlive(host, at);
-  if (const auto *news = std::get_if<PeerNews>(&message))
+  if (const auto *news = std::get_if<PeerUpdate>(&message))
     takeNews(connection, news->Knowledge, at);
   else if (const auto *heartbeat = std::get_if<PeerHeartbeat>(&message))
     answerHeartbeat(connection, *heartbeat);
@@ -194,7 +194,7 @@
 
 void MeshState::answerHeartbeat(ConnectionId connection,
                                 const PeerHeartbeat &heartbeat) {
-  sendNews(connection, promptNews());
+  sendUpdate(connection, promptUpdate());
   send(connection, PeerHeartbeatReply{heartbeat.AskedAt});
 }
 
@@ -207,12 +207,12 @@
     news.Bundle = {};
   }
   merge(All.at(connection).Theirs, news);
-  const PeerKnowledge fresh = newsFor(news, Mine);
+  const PeerKnowledge fresh = deltaFor(news, Mine);
   if (isEmpty(fresh))
     return;
   merge(Mine, fresh);
   Heard.noteNews(fresh.Hosts, at);
-  outliveOlderSelf(at);
+  supersedeOlderIncarnation(at);
   Hooks.OnKnowledge(fresh);
   // These must be known everywhere soon; counts and reports go with the next
   // rounds.
@@ -220,7 +220,7 @@
       fresh.Bundle.Generation != 0 || !fresh.Leaving.empty() ||
       !fresh.Rollout.Vetoes.empty() || !fresh.Rollout.Stages.empty();
   if (isUrgent)
-    sendNewsToAll(promptNews());
+    sendUpdateToAll(promptUpdate());
 }
 
 void MeshState::renewOwnReport(Instant at) {
@@ -229,7 +229,7 @@
   Mine.Hosts[Settings.Self] = OwnReport;
 }
 
-void MeshState::outliveOlderSelf(Instant at) {
+void MeshState::supersedeOlderIncarnation(Instant at) {
   // Peers may hold a report of an earlier life whose clock was ahead of ours;
   // they would take it for the newer one and send nobody here.
   const HostReport &known = Mine.Hosts[Settings.Self];
@@ -240,14 +240,14 @@
 }
 
 void MeshState::publish(const PeerKnowledge &news, Instant at) {
-  noticePause(at);
+  detectPause(at);
   // Each call counts as evidence; telling each one by itself would cost more
   // than the calls.
   const bool isOnlyEvidence =
       news.Bundle.Generation == 0 && news.Leaving.empty() &&
       news.Rollout.Vetoes.empty() && news.Rollout.Stages.empty();
   if (merge(Mine, news) && !isOnlyEvidence)
-    sendNewsToAll(promptNews());
+    sendUpdateToAll(promptUpdate());
 }
 
 void MeshState::keepEvidence(const std::set<VersionId> &versions) {
@@ -256,18 +256,18 @@
     entry.second.Theirs.Rollout.Evidence.keepOnly(versions);
 }
 
-PeerKnowledge MeshState::promptNews() const {
+PeerKnowledge MeshState::promptUpdate() const {
   return promptPart(Mine, {Settings.Self, Settings.Incarnation});
 }
 
-void MeshState::sendNewsIfDue(Instant at) {
-  if (at - WholeNewsSentAt >= pace().WholeNewsEvery) {
-    WholeNewsSentAt = at;
-    NewsSentAt = at;
-    sendNewsToAll(Mine);
-  } else if (at - NewsSentAt >= pace().NewsEvery) {
-    NewsSentAt = at;
-    sendNewsToAll(promptNews());
+void MeshState::sendUpdateIfDue(Instant at) {
+  if (at - FullUpdateSentAt >= pace().FullUpdateInterval) {
+    FullUpdateSentAt = at;
+    UpdateSentAt = at;
+    sendUpdateToAll(Mine);
+  } else if (at - UpdateSentAt >= pace().UpdateInterval) {
+    UpdateSentAt = at;
+    sendUpdateToAll(promptUpdate());
   }
 }
 
@@ -280,22 +280,22 @@
     ReportedAt = Instant();
 }
 
-void MeshState::sendNews(ConnectionId connection, const PeerKnowledge &part) {
+void MeshState::sendUpdate(ConnectionId connection, const PeerKnowledge &part) {
   PeerLink &link = All.at(connection);
-  const PeerKnowledge news = newsFor(part, link.Theirs);
+  const PeerKnowledge news = deltaFor(part, link.Theirs);
   if (isEmpty(news))
     return;
-  const std::string bytes = encodePeerMessage(PeerNews{news});
-  ++Counts.NewsSent;
-  Counts.NewsBytesSent += bytes.size();
+  const std::string bytes = encodePeerMessage(PeerUpdate{news});
+  ++Counts.UpdatesSent;
+  Counts.UpdateBytesSent += bytes.size();
   merge(link.Theirs, news);
   Transport.Send(connection, bytes);
 }
 
-void MeshState::sendNewsToAll(const PeerKnowledge &part) {
+void MeshState::sendUpdateToAll(const PeerKnowledge &part) {
   for (const auto &[connection, link] : All)
     if (link.Stage == LinkStage::Live)
-      sendNews(connection, part);
+      sendUpdate(connection, part);
 }
 
 void MeshState::request(const HostId &host, std::string kind, std::string body,
@@ -327,20 +327,20 @@
 }
 
 void MeshState::tick(Instant at) {
-  noticePause(at);
+  detectPause(at);
   dropSilent(at);
   Requests.expire(at);
   if (at - ReportedAt >= pace().ReportEvery)
     renewOwnReport(at);
-  forgetLeft(Mine, at);
-  Heard.forgetDead(Mine, Settings.Self, at);
-  sendNewsIfDue(at);
+  eraseExpiredLeaving(Mine, at);
+  Heard.eraseDeadHosts(Mine, Settings.Self, at);
+  sendUpdateIfDue(at);
   askAll(at);
-  choosePeersAnew(at);
+  reselectPeers(at);
 }
 
-void MeshState::choosePeersAnew(Instant at) {
-  const bool isDue = at - ChosenAt >= Settings.RetryEvery;
+void MeshState::reselectPeers(Instant at) {
+  const bool isDue = at - ChosenAt >= Settings.ConnectRetryInterval;
   if (!isDue && Requests.awaitedHosts().empty())
     return;
   ChosenAt = at;
@@ -349,20 +349,22 @@
   dropUnwanted(wanted, at);
 }
 
-const MeshPace &MeshState::pace() const {
-  return Mine.Hosts.size() > FullMeshLimit ? Settings.LargePace : Settings.Pace;
+const MeshIntervals &MeshState::pace() const {
+  return Mine.Hosts.size() > FullMeshLimit ? Settings.LargeMeshIntervals
+                                           : Settings.Pace;
 }
 
 void MeshState::dropSilent(Instant at) {
   std::vector<ConnectionId> silent;
   for (const auto &[connection, link] : All) {
     const bool isLive = link.Stage == LinkStage::Live;
-    const bool isSilent = isLive ? at - link.HeardAt > pace().SilenceLimit
-                                 : at - link.OpenedAt > Settings.HelloLimit;
+    const bool isSilent = isLive
+                              ? at - link.LastSeenAt > pace().SilenceTimeout
+                              : at - link.OpenedAt > Settings.HandshakeTimeout;
     if (isSilent)
       silent.push_back(connection);
   }
-  Counts.SilentLinks += silent.size();
+  Counts.SilenceTimeouts += silent.size();
   for (const ConnectionId it : silent)
     drop(it);
 }
@@ -370,7 +372,7 @@
 void MeshState::askAll(Instant at) {
   for (auto &[connection, link] : All) {
     if (link.Stage != LinkStage::Live ||
-        at - link.AskedAt < pace().HeartbeatEvery)
+        at - link.AskedAt < pace().HeartbeatInterval)
       continue;
     link.AskedAt = at;
     send(connection, PeerHeartbeat{at});
@@ -384,7 +386,7 @@
   for (const auto &[connection, link] : All)
     if (link.Role == PeerRole::Opener && link.Stage == LinkStage::Live &&
         wanted.count(addressOf(link)) == 0 &&
-        at - link.UsedAt > Settings.KeepUnwantedFor)
+        at - link.UsedAt > Settings.UnselectedLinkIdleTimeout)
       unwanted.push_back(connection);
   for (const ConnectionId it : unwanted)
     drop(it);
@@ -410,7 +412,7 @@
   for (const auto &[host, report] : Mine.Hosts) {
     // A seed whose host is known needs no connection for its own sake.
     wanted.erase(report.PeerAddress);
-    if (host != Settings.Self && Heard.isPromising(host, at))
+    if (host != Settings.Self && Heard.isWorthConnecting(host, at))
       candidates.push_back({host, report.Zone});
   }
   std::set<HostId> hosts = Requests.awaitedHosts();
@@ -433,7 +435,7 @@
     if (address.empty() || isConnected(address))
       continue;
     const auto [it, isFirst] = TriedAt.emplace(address, at);
-    if (!isFirst && at - it->second < Settings.RetryEvery)
+    if (!isFirst && at - it->second < Settings.ConnectRetryInterval)
       continue;
     it->second = at;
     addLink(Transport.Connect(address), PeerRole::Opener, address, at);
--- a/Libraries/LibPeer/MeshState.h
+++ b/Libraries/LibPeer/MeshState.h
@@ -13,16 +13,16 @@
 namespace sorrelbay {
 
 /// How often a daemon speaks to its peers.
-struct MeshPace {
+struct MeshIntervals {
   /// A question goes out on each connection that often.
-  Duration HeartbeatEvery;
+  Duration HeartbeatInterval;
   /// A connection without any message for so long is given up and replaced.
-  Duration SilenceLimit;
+  Duration SilenceTimeout;
   /// Between two rounds of what this host has to tell.
-  Duration NewsEvery;
+  Duration UpdateInterval;
   /// Between two rounds of all that it knows, for hosts that were cut off from
   /// those that told it.
-  Duration WholeNewsEvery;
+  Duration FullUpdateInterval;
   /// Between two reports of this host, unless it begins to leave.
   Duration ReportEvery;
 };
@@ -42,18 +42,18 @@
   /// others, so that a secret can be replaced host by host.
   std::vector<std::string> Secrets;
   /// Up to FullMeshLimit hosts.
-  MeshPace Pace{milliseconds(250), seconds(1), milliseconds(50), seconds(1),
-                seconds(1)};
+  MeshIntervals Pace{milliseconds(250), seconds(1), milliseconds(50),
+                     seconds(1), seconds(1)};
   /// Beyond it, where all news pass all hosts and would add up.
-  MeshPace LargePace{seconds(1), seconds(3), seconds(1), seconds(1),
-                     seconds(30)};
+  MeshIntervals LargeMeshIntervals{seconds(1), seconds(3), seconds(1),
+                                   seconds(1), seconds(30)};
   /// The handshake must be over by then.
-  Duration HelloLimit = seconds(2);
+  Duration HandshakeTimeout = seconds(2);
   /// Between two tries to connect to one address.
-  Duration RetryEvery = milliseconds(500);
+  Duration ConnectRetryInterval = milliseconds(500);
   /// A connection that is not among the chosen ones is kept for so long after
   /// the last request over it.
-  Duration KeepUnwantedFor = seconds(30);
+  Duration UnselectedLinkIdleTimeout = seconds(30);
 };
 
 /// What an owner sees of another entry host.
@@ -109,7 +109,7 @@
 private:
   using Links = std::map<ConnectionId, PeerLink>;
 
-  void noticePause(Instant at);
+  void detectPause(Instant at);
   void dropAll();
   void addLink(ConnectionId connection, PeerRole role, std::string address,
                Instant at);
@@ -118,22 +118,22 @@
   void handleLive(ConnectionId connection, const PeerMessage &message,
                   Instant at);
   void becomeLive(ConnectionId connection, Instant at);
-  bool giveWayToTwin(ConnectionId connection);
+  bool dropDuplicateLink(ConnectionId connection);
   void takeNews(ConnectionId connection, PeerKnowledge news, Instant at);
   void answerHeartbeat(ConnectionId connection, const PeerHeartbeat &heartbeat);
   void renewOwnReport(Instant at);
-  void outliveOlderSelf(Instant at);
-  void sendNews(ConnectionId connection, const PeerKnowledge &part);
-  void sendNewsToAll(const PeerKnowledge &part);
-  PeerKnowledge promptNews() const;
-  void sendNewsIfDue(Instant at);
+  void supersedeOlderIncarnation(Instant at);
+  void sendUpdate(ConnectionId connection, const PeerKnowledge &part);
+  void sendUpdateToAll(const PeerKnowledge &part);
+  PeerKnowledge promptUpdate() const;
+  void sendUpdateIfDue(Instant at);
   void sendRequests();
   void send(ConnectionId connection, const PeerMessage &message);
   void drop(ConnectionId connection);
   void dropSilent(Instant at);
   void askAll(Instant at);
-  const MeshPace &pace() const;
-  void choosePeersAnew(Instant at);
+  const MeshIntervals &pace() const;
+  void reselectPeers(Instant at);
   void connectTo(const std::set<std::string> &wanted, Instant at);
   std::set<std::string> wantedAddresses(Instant at) const;
   void dropUnwanted(const std::set<std::string> &wanted, Instant at);
@@ -153,8 +153,8 @@
   std::set<std::string> OwnAddresses;
   Instant LastEventAt;
   Instant ReportedAt{};
-  Instant NewsSentAt{};
-  Instant WholeNewsSentAt{};
+  Instant UpdateSentAt{};
+  Instant FullUpdateSentAt{};
   Instant ChosenAt{};
   MeshCounts Counts;
 };
--- a/Libraries/LibPeer/PeerLink.h
+++ b/Libraries/LibPeer/PeerLink.h
@@ -9,11 +9,11 @@
 namespace sorrelbay {
 
 /// How far a connection has got.
-enum class LinkStage { Opening, Greeting, Live };
+enum class LinkStage { Opening, Handshaking, Live };
 
 /// A peer's hello or proof is wrong: it does not hold the secret, or speaks out
 /// of turn.
-class PeerHelloWrong : public PeerMessageRefused {
+class PeerHandshakeFailed : public PeerMessageRefused {
 public:
   using PeerMessageRefused::PeerMessageRefused;
 };
@@ -28,7 +28,7 @@
   std::string Address;
   LinkStage Stage = LinkStage::Opening;
   Instant OpenedAt;
-  Instant HeardAt;
+  Instant LastSeenAt;
   Instant AskedAt{};
   /// When it became live or last carried a request of this host.
   Instant UsedAt{};
@@ -42,10 +42,10 @@
     return Other ? Other->Incarnation : IncarnationId();
   }
   /// Takes the other side's hello and gives the proof to answer with. Throws
-  /// PeerHelloWrong.
+  /// PeerHandshakeFailed.
   PeerProof greet(const PeerHello &hello, const std::string &secret);
   /// Takes the other side's proof; the link is live then. Throws
-  /// PeerHelloWrong.
+  /// PeerHandshakeFailed.
   void prove(const PeerProof &proof, const std::vector<std::string> &secrets);
 
 private:
--- a/Libraries/LibPeer/PeerMessage.cpp
+++ b/Libraries/LibPeer/PeerMessage.cpp
@@ -113,7 +113,7 @@
 json toJson(const PeerHeartbeatReply &it) {
   return {{"asked_at", timeToJson(it.AskedAt)}};
 }
-json toJson(const PeerNews &news) {
+json toJson(const PeerUpdate &news) {
   return {{"knowledge", toJson(news.Knowledge)}};
 }
 json toJson(const PeerRequest &request) {
@@ -139,7 +139,7 @@
   if (kind == "alive")
     return PeerHeartbeatReply{timeFromJson(from.at("asked_at"))};
   if (kind == "news")
-    return PeerNews{knowledgeFromJson(from.at("knowledge"))};
+    return PeerUpdate{knowledgeFromJson(from.at("knowledge"))};
   if (kind == "request")
     return PeerRequest{from.at("number").get<std::uint64_t>(),
                        textAt(from, "service"), bytesAt(from, "body")};
--- a/Libraries/LibPeer/PeerMessage.h
+++ b/Libraries/LibPeer/PeerMessage.h
@@ -32,7 +32,7 @@
 };
 
 /// Part of the sender's knowledge.
-struct PeerNews {
+struct PeerUpdate {
   PeerKnowledge Knowledge;
 };
 
@@ -54,7 +54,7 @@
 
 using PeerMessage =
     std::variant<PeerHello, PeerProof, PeerHeartbeat, PeerHeartbeatReply,
-                 PeerNews, PeerRequest, PeerReply>;
+                 PeerUpdate, PeerRequest, PeerReply>;
 
 /// The message as CBOR.
 std::string encodePeerMessage(const PeerMessage &message);
--- a/Libraries/LibPeer/PeerSocket.cpp
+++ b/Libraries/LibPeer/PeerSocket.cpp
@@ -27,7 +27,7 @@
   endpoint.clear_access_channels(websocketpp::log::alevel::all);
   endpoint.clear_error_channels(websocketpp::log::elevel::all);
   endpoint.init_asio(&context);
-  endpoint.set_max_message_size(MaxGreetingBytes);
+  endpoint.set_max_message_size(MaxHandshakeBytes);
   endpoint.set_open_handshake_timeout(HandshakeLimitMs);
   // Heartbeats are small and late ones look like silence.
   endpoint.set_tcp_post_init_handler(
@@ -49,7 +49,7 @@
 /// Sends unless too much waits already; false if it does.
 template <typename Connection>
 bool sendOn(const Connection &connection, const std::string &bytes) {
-  if (connection->get_buffered_amount() + bytes.size() > MaxWaitingBytes)
+  if (connection->get_buffered_amount() + bytes.size() > MaxSendBacklogBytes)
     return false;
   // A failure to send shows as the connection's end soon after.
   connection->send(bytes, websocketpp::frame::opcode::binary);
@@ -214,7 +214,8 @@
   if (isSent)
     return;
   LogLine(Severity::Warning, "peer takes its messages too slowly")
-      .field("waiting_bytes_limit", static_cast<std::int64_t>(MaxWaitingBytes));
+      .field("waiting_bytes_limit",
+             static_cast<std::int64_t>(MaxSendBacklogBytes));
   close(connection);
   post([this, connection] { All->Events.Closed(connection); });
 }
--- a/Libraries/LibPeer/PeerSocket.h
+++ b/Libraries/LibPeer/PeerSocket.h
@@ -26,12 +26,12 @@
 };
 
 /// The longest message before the other side has proved who it is, in bytes.
-constexpr std::size_t MaxGreetingBytes = 4096;
+constexpr std::size_t MaxHandshakeBytes = 4096;
 /// The longest message of a proved peer.
 constexpr std::size_t MaxPeerMessageBytes = std::size_t{4} * 1024 * 1024;
 /// What may wait to be sent on one connection; a peer that takes its messages
 /// more slowly is cut off, or its backlog would eat the memory.
-constexpr std::size_t MaxWaitingBytes = std::size_t{16} * 1024 * 1024;
+constexpr std::size_t MaxSendBacklogBytes = std::size_t{16} * 1024 * 1024;
 
 /// WebSocket connections to and from peers, all on one thread. What is not said
 /// to be callable from any thread belongs to that one.
--- a/Libraries/LibPeer/RolloutCodec.cpp
+++ b/Libraries/LibPeer/RolloutCodec.cpp
@@ -34,9 +34,9 @@
   veto.At = Instant(Duration(from.at("at").get<std::int64_t>()));
   veto.By = HostId(from.at("by").get<std::string>());
   const int reason = from.at("reason").get<int>();
-  if (reason < 0 || reason > static_cast<int>(TakeBackReason::Deadline))
+  if (reason < 0 || reason > static_cast<int>(RollbackReason::Deadline))
     throw RolloutKnowledgeMalformed("a veto has no known reason");
-  veto.Reason = static_cast<TakeBackReason>(reason);
+  veto.Reason = static_cast<RollbackReason>(reason);
   veto.OnRoute = RouteId(from.at("route").get<std::string>());
   veto.Statistic = from.at("statistic").get<double>();
   veto.New = countFromJson(from.at("new"));
--- a/Tests/LibPeer/BundleSpread.cpp
+++ b/Tests/LibPeer/BundleSpread.cpp
@@ -44,7 +44,7 @@
 void BundleSpread::start(const std::string &name) {
   Host &host = Hosts[name];
   host = Host();
-  host.Bundles = std::make_unique<BundleInForce>(
+  host.Bundles = std::make_unique<ActiveBundle>(
       std::vector<PublicKey>{Operators.publicKey()});
   host.Life = NextLife++;
   host.IsUp = true;
@@ -165,14 +165,14 @@
   const std::uint64_t generation = generationOf(bytes);
   ++Counts.Adoptions;
   if (generation < host.Generation)
-    invariantBroken("bundle-never-reverts",
-                    name + " went from generation " +
-                        std::to_string(host.Generation) + " to " +
-                        std::to_string(generation));
+    failInvariant("bundle-never-reverts", name + " went from generation " +
+                                              std::to_string(host.Generation) +
+                                              " to " +
+                                              std::to_string(generation));
   const auto it = ByGeneration.find(generation);
   if (it == ByGeneration.end() || it->second != bytes)
-    invariantBroken("only-rolled-bundles-in-force",
-                    name + " acts by a bundle that was never rolled");
+    failInvariant("only-rolled-bundles-in-force",
+                  name + " acts by a bundle that was never rolled");
   host.Generation = generation;
   host.Bytes = bytes;
 }
@@ -181,13 +181,13 @@
   const std::uint64_t generation = generationOf(body);
   const auto [it, isNew] = ByGeneration.emplace(generation, body);
   if (!isNew && it->second != body)
-    invariantBroken("one-generation-one-bundle",
-                    "generation " + std::to_string(generation) +
-                        " was rolled twice");
+    failInvariant("one-generation-one-bundle", "generation " +
+                                                   std::to_string(generation) +
+                                                   " was rolled twice");
   if (generation < Highest)
-    invariantBroken("rolled-bundle-never-reverts",
-                    "an older bundle was rolled over generation " +
-                        std::to_string(Highest));
+    failInvariant("rolled-bundle-never-reverts",
+                  "an older bundle was rolled over generation " +
+                      std::to_string(Highest));
   Highest = generation;
   Committed.push_back(body);
 }
@@ -242,8 +242,7 @@
     rollBundle(objectApi(), bundle);
     ++Counts.Rolled;
     if (!isCommitted())
-      invariantBroken("rolled-is-rolled",
-                      "a roll that was not taken succeeded");
+      failInvariant("rolled-is-rolled", "a roll that was not taken succeeded");
   } catch (const RollOutdated &) {
     ++Counts.Outdated;
   } catch (const RollConflict &) {
@@ -252,8 +251,8 @@
     ++Counts.Unknown;
   } catch (const ObjectApiUnavailable &) {
     if (isCommitted())
-      invariantBroken("not-rolled-is-not-rolled",
-                      "a roll that was taken was reported as failed");
+      failInvariant("not-rolled-is-not-rolled",
+                    "a roll that was taken was reported as failed");
   }
 }
 
@@ -283,7 +282,7 @@
   // A lying generation must not help an old bundle either.
   news.Bundle = {chance(500) ? generationOf(old) : Highest + 5, old};
   for (int n = 0; n < HostCount; ++n)
-    Net.inject(from, "h" + std::to_string(n), PeerNews{news});
+    Net.inject(from, "h" + std::to_string(n), PeerUpdate{news});
 }
 
 void BundleSpread::forge() {
@@ -300,7 +299,7 @@
   PeerKnowledge news;
   news.Bundle = {generation, encodeSignedBundle(forged)};
   for (int n = 0; n < HostCount; ++n)
-    Net.inject(from, "h" + std::to_string(n), PeerNews{news});
+    Net.inject(from, "h" + std::to_string(n), PeerUpdate{news});
 }
 
 void BundleSpread::step() {
@@ -360,10 +359,10 @@
   Net.run(InForceWithin);
   for (const auto &[name, host] : Hosts)
     if (host.Generation != Highest)
-      invariantBroken("in-force-everywhere-within-seconds",
-                      name + " still acts by generation " +
-                          std::to_string(host.Generation) + " of " +
-                          std::to_string(Highest));
+      failInvariant("in-force-everywhere-within-seconds",
+                    name + " still acts by generation " +
+                        std::to_string(host.Generation) + " of " +
+                        std::to_string(Highest));
 }
 
 void BundleSpread::restartInOutageAndCheck() {
@@ -376,8 +375,8 @@
   Net.run(InForceWithin);
   for (const auto &[name, host] : Hosts)
     if (host.Generation != Highest)
-      invariantBroken("started-in-outage-gets-bundle",
-                      name + " has no bundle from its peers");
+      failInvariant("started-in-outage-gets-bundle",
+                    name + " has no bundle from its peers");
 }
 
 } // namespace sorrelbay
--- a/Tests/LibPeer/BundleSpread.h
+++ b/Tests/LibPeer/BundleSpread.h
@@ -2,7 +2,7 @@
 
 #include "FakeNetwork.h"
 #include "LibObjectApi/ObjectApi.h"
-#include "LibOperator/BundleInForce.h"
+#include "LibOperator/ActiveBundle.h"
 #include <deque>
 #include <map>
 #include <set>
@@ -63,7 +63,7 @@
 
 private:
   struct Host {
-    std::unique_ptr<BundleInForce> Bundles;
+    std::unique_ptr<ActiveBundle> Bundles;
     /// What LastSeenWins and Unverified act by in its place.
     std::uint64_t Generation = 0;
     std::string Bytes;
--- a/Tests/LibPeer/TestMeshState.cpp
+++ b/Tests/LibPeer/TestMeshState.cpp
@@ -38,10 +38,10 @@
   }
   /// Sends a request and gives the place where its result will be.
   std::shared_ptr<std::optional<PeerRequestResult>>
-  request(const std::string &from, const std::string &to, Duration patience) {
+  request(const std::string &from, const std::string &to, Duration waitLimit) {
     auto result = std::make_shared<std::optional<PeerRequestResult>>();
     Net.mesh(from).request(
-        HostId(to), "ticket-call", "x", Net.at() + patience,
+        HostId(to), "ticket-call", "x", Net.at() + waitLimit,
         [result](const PeerRequestResult &it) { *result = it; });
     return result;
   }
@@ -61,7 +61,7 @@
                          std::string(NonceBytes, 'n')};
 
 const RudeRow RudeRows[] = {
-    {"news", PeerNews{bundleOf(9)}},
+    {"news", PeerUpdate{bundleOf(9)}},
     {"request", PeerRequest{1, "ticket-call", "x"}},
     {"heartbeat", PeerHeartbeat{}},
     {"proof without hello", PeerProof{"p"}},
@@ -111,7 +111,7 @@
   Net.run(Settled);
   BOOST_CHECK(!isLinked("a", "b"));
   BOOST_CHECK_EQUAL(generation("a"), 0);
-  BOOST_CHECK_GE(Net.mesh("a").counts().WrongHellos, 1);
+  BOOST_CHECK_GE(Net.mesh("a").counts().HandshakeFailures, 1);
 }
 
 BOOST_DATA_TEST_CASE(unproved_speech_ends_the_connection,
@@ -131,7 +131,7 @@
   mesh.received(5, encodePeerMessage(row.Message), Instant(hours(1)));
   BOOST_CHECK(ended == std::vector<ConnectionId>{5});
   BOOST_CHECK_EQUAL(sent.size(), 1);
-  BOOST_CHECK_EQUAL(mesh.counts().WrongHellos, 1);
+  BOOST_CHECK_EQUAL(mesh.counts().HandshakeFailures, 1);
 }
 
 // A stranger sends back to a daemon what it received from it. Without the role
@@ -141,9 +141,9 @@
   const PeerHello own{HostId("a"), IncarnationId("1"),
                       std::string(NonceBytes, 'a')};
   PeerLink link(PeerRole::Accepter, "", own, Instant());
-  link.Stage = LinkStage::Greeting;
+  link.Stage = LinkStage::Handshaking;
   const PeerProof proof = link.greet(own, secret);
-  BOOST_CHECK_THROW(link.prove(proof, {secret}), PeerHelloWrong);
+  BOOST_CHECK_THROW(link.prove(proof, {secret}), PeerHandshakeFailed);
 }
 
 // Something between two hosts loses track of an open connection: nothing
@@ -158,7 +158,7 @@
   Net.mesh("a").publish(bundleOf(5), Net.at());
   Net.run(seconds(4));
   BOOST_CHECK_EQUAL(generation("b"), 5);
-  BOOST_CHECK_GE(Net.mesh("a").counts().SilentLinks, 1);
+  BOOST_CHECK_GE(Net.mesh("a").counts().SilenceTimeouts, 1);
   BOOST_REQUIRE(*result);
   BOOST_CHECK((*result)->End == PeerRequestEnd::Unknown);
 }
@@ -243,8 +243,8 @@
   Net.run(Settled);
   PeerKnowledge forged;
   forged.Bundle = {8, "scribble"};
-  Net.inject("a", "b", PeerNews{bundleOf(4)});
-  Net.inject("a", "b", PeerNews{forged});
+  Net.inject("a", "b", PeerUpdate{bundleOf(4)});
+  Net.inject("a", "b", PeerUpdate{forged});
   Net.run(seconds(1));
   BOOST_CHECK_EQUAL(generation("b"), 5);
   BOOST_CHECK_EQUAL(Net.mesh("b").counts().RefusedBundles, 1);
@@ -296,7 +296,7 @@
   veto.Version = VersionId("v2");
   veto.At = Net.at();
   veto.By = HostId("b");
-  veto.Reason = TakeBackReason::Lateness;
+  veto.Reason = RollbackReason::Lateness;
   veto.OnRoute = RouteId("quote");
   veto.Statistic = 4.5;
   veto.New = {300, 21, 9};
@@ -333,7 +333,7 @@
     BOOST_CHECK_THROW(decode(it), PeerMessageRefused);
   Net.inject("a", "b", Stranger);
   Net.run(Settled);
-  BOOST_CHECK_GE(Net.mesh("b").counts().WrongHellos, 1);
+  BOOST_CHECK_GE(Net.mesh("b").counts().HandshakeFailures, 1);
   BOOST_CHECK(isLinked("a", "b"));
 }
 
@@ -348,11 +348,11 @@
   Net.run(seconds(60));
   std::uint64_t bytesBefore = 0;
   for (int n = 0; n < Count; ++n)
-    bytesBefore += Net.mesh("n" + std::to_string(n)).counts().NewsBytesSent;
+    bytesBefore += Net.mesh("n" + std::to_string(n)).counts().UpdateBytesSent;
   Net.run(seconds(60));
   std::uint64_t bytesAfter = 0;
   for (int n = 0; n < Count; ++n)
-    bytesAfter += Net.mesh("n" + std::to_string(n)).counts().NewsBytesSent;
+    bytesAfter += Net.mesh("n" + std::to_string(n)).counts().UpdateBytesSent;
   const std::uint64_t bytesPerSecond = (bytesAfter - bytesBefore) / Count / 60;
   Net.mesh("n39").publish(bundleOf(3), Net.at());
   Net.run(milliseconds(100));
--- a/Tests/LibPeer/TestPeerMesh.cpp
+++ b/Tests/LibPeer/TestPeerMesh.cpp
@@ -110,7 +110,7 @@
   settings.Secrets = {"no secret of these peers"};
   PeerMesh c(settings, quietHooks());
   c.start();
-  BOOST_CHECK(comesTrue([this] { return A.counts().WrongHellos > 0; }));
+  BOOST_CHECK(comesTrue([this] { return A.counts().HandshakeFailures > 0; }));
   BOOST_CHECK_EQUAL(A.counts().LiveLinks, 1);
   BOOST_CHECK_EQUAL(c.counts().LiveLinks, 0);
 }
