--- a/Libraries/LibObjectApi/CallLedger.cpp
+++ b/Libraries/LibObjectApi/CallLedger.cpp
@@ -108,7 +108,7 @@
       tell = [version](BucketUpdater &it) { it.onWritten(version); };
     }
   } catch (const VersionConflict &) {
-    pauseAfterCollision();
+    backOffAfterConflict();
     tell = [](BucketUpdater &it) { it.onConflict(); };
   } catch (const WriteOutcomeUnknown &) {
     tell = [](BucketUpdater &it) { it.onWriteOutcomeUnknown(); };
@@ -119,10 +119,10 @@
   tell(bucket.Updater);
 }
 
-void CallLedger::pauseAfterCollision() {
+void CallLedger::backOffAfterConflict() {
   Duration pause;
   {
-    const std::lock_guard<std::mutex> lock(EngineMutex);
+    const std::lock_guard<std::mutex> lock(RandomMutex);
     pause = Duration(Engine() % MaxCollisionPause.count());
   }
   std::this_thread::sleep_for(pause);
--- a/Libraries/LibObjectApi/CallLedger.h
+++ b/Libraries/LibObjectApi/CallLedger.h
@@ -39,13 +39,13 @@
              std::unique_lock<std::mutex> &lock);
   void send(Bucket &bucket, const BucketRequest &request,
             std::unique_lock<std::mutex> &lock);
-  void pauseAfterCollision();
+  void backOffAfterConflict();
 
   const ObjectApi Objects;
   const LedgerLimits Limits;
   std::mutex Mutex;
   std::map<std::uint32_t, std::shared_ptr<Bucket>> Buckets;
-  std::mutex EngineMutex;
+  std::mutex RandomMutex;
   std::mt19937_64 Engine;
 };
 
--- a/Libraries/LibObjectApi/HttpObjectApi.cpp
+++ b/Libraries/LibObjectApi/HttpObjectApi.cpp
@@ -124,11 +124,11 @@
     return write(*line, name, body, expectedVersion);
   };
   api.Watch = [line](const std::string &name, std::uint64_t knownVersion,
-                     Duration patience) {
+                     Duration waitLimit) {
     HttpCall call = line->call(
         "GET", objectPath(name) + "?watch=" + std::to_string(knownVersion) +
-                   "&timeout_ms=" + std::to_string(toMilliseconds(patience)));
-    call.ReadTimeout += patience;
+                   "&timeout_ms=" + std::to_string(toMilliseconds(waitLimit)));
+    call.ReadTimeout += waitLimit;
     return toObject(sendRead(*line, call));
   };
   api.List = [line](const std::string &prefix) { return list(*line, prefix); };
--- /dev/null
+++ b/Libraries/LibObjectApi/InstrumentedStore.cpp
@@ -0,0 +1,59 @@
+#include "LibObjectApi/InstrumentedStore.h"
+
+namespace sorrelbay {
+
+/// The callback, told of first.
+template <typename Value>
+static StoreCallback<Value> told(const StoreCallHook &onCall, const char *call,
+                                 ResourceKind kind, StoreCallback<Value> done) {
+  return [onCall, call, kind,
+          done = std::move(done)](const StoreResult<Value> &result) {
+    onCall(call, kind,
+           result.Got ? std::nullopt : std::optional(result.Failure));
+    done(result);
+  };
+}
+
+bool isUnreached(std::optional<StoreFailure> failure) {
+  return failure == StoreFailure::Unavailable ||
+         failure == StoreFailure::Unknown;
+}
+
+ResourceStore instrumentedStore(const ResourceStore &store,
+                                const StoreCallHook &onCall) {
+  ResourceStore out;
+  out.List = [store, onCall](ResourceKind kind,
+                             StoreCallback<ResourceListing> done) {
+    store.List(kind, told(onCall, "list", kind, std::move(done)));
+  };
+  out.Watch = [store, onCall](ResourceKind kind, std::uint64_t after,
+                              Duration waitLimit,
+                              StoreCallback<ResourceChanges> done) {
+    store.Watch(kind, after, waitLimit,
+                told(onCall, "watch", kind, std::move(done)));
+  };
+  out.Read = [store, onCall](ResourceKind kind, const std::string &name,
+                             StoreCallback<Resource> done) {
+    store.Read(kind, name, told(onCall, "read", kind, std::move(done)));
+  };
+  out.Create = [store, onCall](ResourceKind kind, const Resource &object,
+                               StoreCallback<Resource> done) {
+    store.Create(kind, object, told(onCall, "create", kind, std::move(done)));
+  };
+  out.Replace = [store, onCall](ResourceKind kind, const Resource &object,
+                                StoreCallback<Resource> done) {
+    store.Replace(kind, object, told(onCall, "replace", kind, std::move(done)));
+  };
+  out.ReplaceStatus = [store, onCall](ResourceKind kind, const Resource &object,
+                                      StoreCallback<Resource> done) {
+    store.ReplaceStatus(kind, object,
+                        told(onCall, "replace_status", kind, std::move(done)));
+  };
+  out.Remove = [store, onCall](ResourceKind kind, const std::string &name,
+                               StoreCallback<Resource> done) {
+    store.Remove(kind, name, told(onCall, "remove", kind, std::move(done)));
+  };
+  return out;
+}
+
+} // namespace sorrelbay
--- a/Libraries/LibObjectApi/ObjectApi.h
+++ b/Libraries/LibObjectApi/ObjectApi.h
@@ -66,7 +66,7 @@
   /// Waits until the object's version is above the known one or the time is
   /// over; nothing if it did not change. Throws ObjectApiUnavailable.
   std::function<std::optional<StoredObject>(
-      const std::string &name, std::uint64_t knownVersion, Duration patience)>
+      const std::string &name, std::uint64_t knownVersion, Duration waitLimit)>
       Watch;
   /// The names that start with the prefix, sorted. Throws
   /// ObjectApiUnavailable.
--- a/Libraries/LibObjectApi/NewsParts.h
+++ b/Libraries/LibObjectApi/RelayedChangesParts.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "LibObjectApi/KindStore.h"
+#include "LibObjectApi/ResourceStore.h"
 #include <cstddef>
 #include <vector>
 
@@ -10,6 +10,7 @@
 /// which they have to be applied: each leads from the revision that the one
 /// before it leads to, so that a receiver that misses one notices. Only the
 /// last confirms that all is known. A single larger object is a part by itself.
-std::vector<KindNews> partsOf(const KindNews &news, std::size_t mostBytes);
+std::vector<RelayedChanges> splitIntoParts(const RelayedChanges &news,
+                                           std::size_t mostBytes);
 
 } // namespace sorrelbay
--- a/Libraries/LibObjectApi/KindStore.cpp
+++ b/Libraries/LibObjectApi/ResourceStore.cpp
@@ -1,22 +1,22 @@
-#include "LibObjectApi/KindStore.h"
+#include "LibObjectApi/ResourceStore.h"
 
 namespace sorrelbay {
 
-const char *toText(StoreKind kind) {
+const char *toText(ResourceKind kind) {
   switch (kind) {
-  case StoreKind::Plan:
+  case ResourceKind::Plan:
     return "plan";
-  case StoreKind::Replicas:
+  case ResourceKind::Replicas:
     return "replicas";
-  case StoreKind::Moves:
+  case ResourceKind::Moves:
     return "moves";
-  case StoreKind::Hosts:
+  case ResourceKind::Hosts:
     return "hosts";
-  case StoreKind::Duties:
+  case ResourceKind::Duties:
     return "duties";
-  case StoreKind::Usage:
+  case ResourceKind::Usage:
     return "usage";
-  case StoreKind::Evacuations:
+  case ResourceKind::Evacuations:
     return "evacuations";
   }
   return "";
--- a/Libraries/LibObjectApi/KindStore.h
+++ b/Libraries/LibObjectApi/ResourceStore.h
@@ -11,7 +11,7 @@
 
 /// The kinds of object that the daemon reads or keeps in the platform's store.
 /// The adapter knows what the platform calls them.
-enum class StoreKind {
+enum class ResourceKind {
   /// The operators' plan; one object.
   Plan,
   /// The upstreams' entries about themselves.
@@ -30,13 +30,13 @@
 };
 
 /// The number of objects above, for tables by kind.
-constexpr std::size_t StoreKindCount = 7;
+constexpr std::size_t ResourceKindCount = 7;
 
 /// The kind's word in logs and metrics.
-const char *toText(StoreKind kind);
+const char *toText(ResourceKind kind);
 
 /// One object as the store holds it.
-struct KeptObject {
+struct Resource {
   std::string Name;
   /// JSON text.
   std::string Body;
@@ -46,31 +46,31 @@
 };
 
 /// A whole kind, as it was at that revision of the store.
-struct KindListing {
-  std::vector<KeptObject> Objects;
-  std::uint64_t AsOf = 0;
+struct ResourceListing {
+  std::vector<Resource> Objects;
+  std::uint64_t AtRevision = 0;
 };
 
-struct KindChange {
-  KeptObject Object;
+struct ResourceChange {
+  Resource Object;
   bool IsRemoved = false;
 };
 
 /// What has changed since the revision that was asked about.
-struct KindChanges {
-  std::vector<KindChange> Changes;
-  std::uint64_t AsOf = 0;
+struct ResourceChanges {
+  std::vector<ResourceChange> Changes;
+  std::uint64_t AtRevision = 0;
 };
 
 /// What one host passes on to others of a kind that it watches, so that not
 /// every host asks the store.
-struct KindNews {
-  StoreKind Kind = StoreKind::Plan;
+struct RelayedChanges {
+  ResourceKind Kind = ResourceKind::Plan;
   /// The changes are those after this revision.
   std::uint64_t From = 0;
-  KindChanges Changes;
+  ResourceChanges Changes;
   /// The changes are too large to be passed on; they have to be asked for.
-  bool IsLeftOut = false;
+  bool IsTruncated = false;
   /// Since the call to the store began that brought them.
   Duration Age{};
   /// The receiver's own clock as the reporter last heard it, in microseconds:
@@ -107,26 +107,26 @@
 /// The platform's store as hooks on the event loop. Each call is counted and
 /// paid for. Callbacks run on the loop's thread, never from inside the call,
 /// each exactly once, at the latest when the patience and a margin are over.
-struct KindStore {
-  std::function<void(StoreKind, StoreCallback<KindListing>)> List;
+struct ResourceStore {
+  std::function<void(ResourceKind, StoreCallback<ResourceListing>)> List;
   /// Waits for changes after the revision, as long as the patience at most.
-  std::function<void(StoreKind, std::uint64_t after, Duration patience,
-                     StoreCallback<KindChanges>)>
+  std::function<void(ResourceKind, std::uint64_t after, Duration waitLimit,
+                     StoreCallback<ResourceChanges>)>
       Watch;
-  std::function<void(StoreKind, const std::string &name,
-                     StoreCallback<KeptObject>)>
+  std::function<void(ResourceKind, const std::string &name,
+                     StoreCallback<Resource>)>
       Read;
   /// Creates the object; Conflict if there is one of that name.
-  std::function<void(StoreKind, const KeptObject &, StoreCallback<KeptObject>)>
+  std::function<void(ResourceKind, const Resource &, StoreCallback<Resource>)>
       Create;
   /// Replaces the body if the object still has that revision.
-  std::function<void(StoreKind, const KeptObject &, StoreCallback<KeptObject>)>
+  std::function<void(ResourceKind, const Resource &, StoreCallback<Resource>)>
       Replace;
   /// Replaces the status if the object still has that revision.
-  std::function<void(StoreKind, const KeptObject &, StoreCallback<KeptObject>)>
+  std::function<void(ResourceKind, const Resource &, StoreCallback<Resource>)>
       ReplaceStatus;
-  std::function<void(StoreKind, const std::string &name,
-                     StoreCallback<KeptObject>)>
+  std::function<void(ResourceKind, const std::string &name,
+                     StoreCallback<Resource>)>
       Remove;
 };
 
--- a/Libraries/LibObjectApi/KindWatcher.cpp
+++ b/Libraries/LibObjectApi/ResourceWatcher.cpp
@@ -1,4 +1,4 @@
-#include "LibObjectApi/KindWatcher.h"
+#include "LibObjectApi/ResourceWatcher.h"
 #include "LibBase/BootClock.h"
 #include "LibBase/LogLine.h"
 #include <algorithm>
@@ -8,46 +8,46 @@
 
 namespace sorrelbay {
 
-struct KindWatcher::Impl : public std::enable_shared_from_this<Impl> {
-  Impl(boost::asio::io_context &loop, KindStore store, StoreKind kind,
-       KindWatcherSettings settings, KindWatcherHooks hooks)
+struct ResourceWatcher::Impl : public std::enable_shared_from_this<Impl> {
+  Impl(boost::asio::io_context &loop, ResourceStore store, ResourceKind kind,
+       ResourceWatcherSettings settings, ResourceWatcherHooks hooks)
       : Timer(loop), HoldTimer(loop), Store(std::move(store)), Kind(kind),
         Settings(settings), Hooks(std::move(hooks)) {}
 
   void list();
-  KindChanges changesTo(const KindListing &listing) const;
-  void watch(Duration patience);
+  ResourceChanges changesTo(const ResourceListing &listing) const;
+  void watch(Duration waitLimit);
   void next(Instant now);
   void gather();
   bool mustAsk(Instant now) const;
-  void apply(const KindChanges &changes);
+  void apply(const ResourceChanges &changes);
   void confirm(Instant begun);
-  void hear(const KindNews &news, Instant now);
+  void receive(const RelayedChanges &news, Instant now);
   Duration restTime() const {
-    return Settings.Patience * Settings.SilentPatiences;
+    return Settings.WaitLimit * Settings.SilentWaitLimits;
   }
   Duration retryDelay() const;
   void retry(StoreFailure why, bool mustList);
   void succeeded(Instant begun);
-  void take(const KeptObject &object);
+  void take(const Resource &object);
   void removed(const std::string &name, std::uint64_t revision);
   void releaseHeld();
 
   boost::asio::steady_timer Timer;
   boost::asio::steady_timer HoldTimer;
-  KindStore Store;
-  StoreKind Kind;
-  KindWatcherSettings Settings;
-  KindWatcherHooks Hooks;
+  ResourceStore Store;
+  ResourceKind Kind;
+  ResourceWatcherSettings Settings;
+  ResourceWatcherHooks Hooks;
   /// Revisions of what is known.
   std::map<std::string, std::uint64_t> Known;
   /// Missing since the store came back; removed unless they return.
   std::set<std::string> Held;
-  std::uint64_t AsOf = 0;
+  std::uint64_t AtRevision = 0;
   Instant LastSuccess{};
   Instant HoldUntil{};
   /// When another host was last heard, and by what time all is known.
-  Instant HeardAt{};
+  Instant LastSeenAt{};
   Instant ConfirmedAt{};
   /// When this host last asked the store for changes.
   Instant AskedAt{};
@@ -62,23 +62,23 @@
   bool IsStopped = false;
 };
 
-void KindWatcher::Impl::list() {
+void ResourceWatcher::Impl::list() {
   const Instant begun = bootNow();
   AskedAt = begun;
   MustList = false;
   Store.List(Kind, [self = shared_from_this(),
-                    begun](const StoreResult<KindListing> &result) {
+                    begun](const StoreResult<ResourceListing> &result) {
     if (self->IsStopped)
       return;
     if (!result.Got)
       return self->retry(result.Failure, true);
     self->succeeded(begun);
-    const KindChanges changes = self->changesTo(*result.Got);
-    const std::uint64_t from = self->AsOf;
+    const ResourceChanges changes = self->changesTo(*result.Got);
+    const std::uint64_t from = self->AtRevision;
     self->apply(changes);
-    self->AsOf = result.Got->AsOf;
+    self->AtRevision = result.Got->AtRevision;
     // What was listed just now is as good as news.
-    self->HeardAt = bootNow();
+    self->LastSeenAt = bootNow();
     self->HasGap = false;
     self->confirm(begun);
     // The history is gone for the others, too.
@@ -90,11 +90,12 @@
 }
 
 /// What has changed from what is known to what was listed.
-KindChanges KindWatcher::Impl::changesTo(const KindListing &listing) const {
-  KindChanges out;
-  out.AsOf = listing.AsOf;
+ResourceChanges
+ResourceWatcher::Impl::changesTo(const ResourceListing &listing) const {
+  ResourceChanges out;
+  out.AtRevision = listing.AtRevision;
   std::set<std::string> present;
-  for (const KeptObject &it : listing.Objects) {
+  for (const Resource &it : listing.Objects) {
     present.insert(it.Name);
     const auto known = Known.find(it.Name);
     if (known == Known.end() || known->second != it.Revision)
@@ -106,14 +107,14 @@
   return out;
 }
 
-void KindWatcher::Impl::watch(Duration patience) {
+void ResourceWatcher::Impl::watch(Duration waitLimit) {
   if (IsStopped)
     return;
   const Instant begun = bootNow();
   AskedAt = begun;
-  Store.Watch(Kind, AsOf, patience,
+  Store.Watch(Kind, AtRevision, waitLimit,
               [self = shared_from_this(), begun,
-               from = AsOf](const StoreResult<KindChanges> &result) {
+               from = AtRevision](const StoreResult<ResourceChanges> &result) {
                 if (self->IsStopped)
                   return;
                 if (!result.Got)
@@ -123,7 +124,7 @@
                 self->succeeded(begun);
                 // The gap showed that there is a reporter.
                 if (self->HasGap)
-                  self->HeardAt = bootNow();
+                  self->LastSeenAt = bootNow();
                 self->HasGap = false;
                 self->apply(*result.Got);
                 self->confirm(begun);
@@ -135,76 +136,77 @@
               });
 }
 
-void KindWatcher::Impl::gather() {
-  if (Settings.GatherTime == Duration::zero())
+void ResourceWatcher::Impl::gather() {
+  if (Settings.BatchDelay == Duration::zero())
     return next(bootNow());
-  Timer.expires_after(Settings.GatherTime);
+  Timer.expires_after(Settings.BatchDelay);
   Timer.async_wait([self = shared_from_this()](boost::system::error_code ec) {
     if (!ec && !self->IsStopped)
       self->next(bootNow());
   });
 }
 
-void KindWatcher::Impl::apply(const KindChanges &changes) {
-  for (const KindChange &it : changes.Changes) {
+void ResourceWatcher::Impl::apply(const ResourceChanges &changes) {
+  for (const ResourceChange &it : changes.Changes) {
     if (it.IsRemoved)
       removed(it.Object.Name, it.Object.Revision);
     else
       take(it.Object);
   }
-  AsOf = std::max(AsOf, changes.AsOf);
+  AtRevision = std::max(AtRevision, changes.AtRevision);
 }
 
-void KindWatcher::Impl::confirm(Instant begun) {
+void ResourceWatcher::Impl::confirm(Instant begun) {
   if (begun <= ConfirmedAt)
     return;
   ConfirmedAt = begun;
   Hooks.OnConfirmed(begun);
 }
 
-bool KindWatcher::Impl::mustAsk(Instant now) const {
-  if (Hooks.AsksAlways())
+bool ResourceWatcher::Impl::mustAsk(Instant now) const {
+  if (Hooks.IsPolling())
     return true;
   // A host that others tell needs the store only if those don't find it either.
   if (Hooks.IsUnreached())
-    return Hooks.Probes() && now - AskedAt > restTime();
-  return now - HeardAt > restTime() ||
-         now - ConfirmedAt > Settings.Patience * Settings.OldPatiences;
+    return Hooks.IsProber() && now - AskedAt > restTime();
+  return now - LastSeenAt > restTime() ||
+         now - ConfirmedAt > Settings.WaitLimit * Settings.StaleWaitLimits;
 }
 
-void KindWatcher::Impl::next(Instant now) {
-  const bool begins = IsResting && Hooks.AsksAlways();
+void ResourceWatcher::Impl::next(Instant now) {
+  const bool begins = IsResting && Hooks.IsPolling();
   IsResting = !mustAsk(now);
   if (IsResting)
     return;
   if (MustList)
     list();
   else
-    watch(begins ? Settings.FirstPatience : Settings.Patience);
+    watch(begins ? Settings.FirstWaitLimit : Settings.WaitLimit);
 }
 
-void KindWatcher::Impl::hear(const KindNews &news, Instant now) {
+void ResourceWatcher::Impl::receive(const RelayedChanges &news, Instant now) {
   // What is older than the view says nothing new; before the first list there
   // is none that changes could be put to.
-  if (!HasListed || news.Changes.AsOf < AsOf)
+  if (!HasListed || news.Changes.AtRevision < AtRevision)
     return;
-  if (news.From > AsOf || news.IsLeftOut) {
+  if (news.From > AtRevision || news.IsTruncated) {
     // Something in between was missed: only the store can tell.
     if (IsResting) {
       IsResting = false;
       HasGap = true;
-      watch(Settings.FirstPatience);
+      watch(Settings.FirstWaitLimit);
     }
     return;
   }
-  HeardAt = now;
+  LastSeenAt = now;
   // The store has answered the reporter. The time since this host last asked by
   // itself is no outage, after which removals would have to wait.
   succeeded(now);
   // Told later than the echo was sent; it may have been on its way for long.
   const Instant begun = Instant(microseconds(news.Echo)) - news.Age;
   // Two hosts that both pass news on would send it to and fro between them.
-  const bool saysMore = news.Changes.AsOf > AsOf || begun > ConfirmedAt;
+  const bool saysMore =
+      news.Changes.AtRevision > AtRevision || begun > ConfirmedAt;
   apply(news.Changes);
   confirm(begun);
   if (saysMore)
@@ -212,21 +214,21 @@
 }
 
 /// How long to wait after so many failures in a row.
-Duration KindWatcher::Impl::retryDelay() const {
+Duration ResourceWatcher::Impl::retryDelay() const {
   Duration delay = Settings.RetryDelay;
   for (int n = 1; n < Failures && delay < Settings.LongestRetryDelay; ++n)
     delay *= 2;
   return std::min(delay, Settings.LongestRetryDelay);
 }
 
-void KindWatcher::Impl::retry(StoreFailure why, bool mustList) {
+void ResourceWatcher::Impl::retry(StoreFailure why, bool mustList) {
   if (++Failures == 1)
     LogLine(Severity::Warning, "store view failed")
         .field("kind", toText(Kind))
         .field("why", toText(why))
-        .field("revision", static_cast<std::int64_t>(AsOf));
+        .field("revision", static_cast<std::int64_t>(AtRevision));
   MustList = mustList;
-  if (HasListed && why != StoreFailure::HistoryGone && !Hooks.AsksAlways())
+  if (HasListed && why != StoreFailure::HistoryGone && !Hooks.IsPolling())
     return next(bootNow());
   // History that is gone needs a list at once: the view is already behind.
   Timer.expires_after(why == StoreFailure::HistoryGone ? Duration::zero()
@@ -238,15 +240,15 @@
         if (mustList || !self->HasListed)
           self->list();
         else
-          self->watch(self->Settings.Patience);
+          self->watch(self->Settings.WaitLimit);
       });
 }
 
-void KindWatcher::Impl::succeeded(Instant begun) {
+void ResourceWatcher::Impl::succeeded(Instant begun) {
   const Instant now = bootNow();
   if (HasListed &&
-      begun - LastSuccess > Settings.Patience + Settings.OutageAfter)
-    HoldUntil = now + Settings.ReturnTime;
+      begun - LastSuccess > Settings.WaitLimit + Settings.OutageAfter)
+    HoldUntil = now + Settings.RecoveryTime;
   if (Failures != 0)
     LogLine(Severity::Info, "store view regained")
         .field("kind", toText(Kind))
@@ -256,7 +258,7 @@
   LastSuccess = now;
 }
 
-void KindWatcher::Impl::take(const KeptObject &object) {
+void ResourceWatcher::Impl::take(const Resource &object) {
   Held.erase(object.Name);
   std::uint64_t &revision = Known[object.Name];
   if (revision >= object.Revision)
@@ -265,8 +267,8 @@
   Hooks.OnObject(object);
 }
 
-void KindWatcher::Impl::removed(const std::string &name,
-                                std::uint64_t revision) {
+void ResourceWatcher::Impl::removed(const std::string &name,
+                                    std::uint64_t revision) {
   const auto known = Known.find(name);
   // Of two reporters one may be behind: what it saw removed may be back.
   if (known == Known.end() || known->second > revision)
@@ -286,7 +288,7 @@
       });
 }
 
-void KindWatcher::Impl::releaseHeld() {
+void ResourceWatcher::Impl::releaseHeld() {
   const std::set<std::string> held = std::move(Held);
   Held.clear();
   for (const std::string &name : held) {
@@ -295,26 +297,27 @@
   }
 }
 
-KindWatcher::KindWatcher(boost::asio::io_context &loop, KindStore store,
-                         StoreKind kind, KindWatcherSettings settings,
-                         KindWatcherHooks hooks)
+ResourceWatcher::ResourceWatcher(boost::asio::io_context &loop,
+                                 ResourceStore store, ResourceKind kind,
+                                 ResourceWatcherSettings settings,
+                                 ResourceWatcherHooks hooks)
     : All(std::make_shared<Impl>(loop, std::move(store), kind, settings,
                                  std::move(hooks))) {}
 
-KindWatcher::~KindWatcher() { stop(); }
+ResourceWatcher::~ResourceWatcher() { stop(); }
 
-void KindWatcher::start() { All->list(); }
+void ResourceWatcher::start() { All->list(); }
 
-void KindWatcher::hear(const KindNews &news, Instant now) {
-  All->hear(news, now);
+void ResourceWatcher::receive(const RelayedChanges &news, Instant now) {
+  All->receive(news, now);
 }
 
-void KindWatcher::tick(Instant now) {
+void ResourceWatcher::tick(Instant now) {
   if (All->IsResting && !All->IsStopped)
     All->next(now);
 }
 
-void KindWatcher::stop() {
+void ResourceWatcher::stop() {
   All->IsStopped = true;
   All->Timer.cancel();
   All->HoldTimer.cancel();
--- a/Tests/LibObjectApi/TestCallLedger.cpp
+++ b/Tests/LibObjectApi/TestCallLedger.cpp
@@ -54,7 +54,7 @@
 
 LedgerEdit makeIntent(const std::string &key, std::uint64_t nonce) {
   LedgerEdit edit;
-  edit.Call = {TeamId("north"), CallKey(key)};
+  edit.Call = {TeamId("north"), IdempotencyKey(key)};
   edit.Attempt = 1;
   edit.Owner = IncarnationId("host-" + std::to_string(nonce));
   edit.Nonce = nonce;
