--- a/Libraries/LibOperator/BundleInForce.cpp
+++ b/Libraries/LibOperator/ActiveBundle.cpp
@@ -1,23 +1,23 @@
-#include "LibOperator/BundleInForce.h"
+#include "LibOperator/ActiveBundle.h"
 #include "LibBase/Invariant.h"
 
 namespace sorrelbay {
 
-BundleInForce::BundleInForce(std::vector<PublicKey> acceptedKeys)
+ActiveBundle::ActiveBundle(std::vector<PublicKey> acceptedKeys)
     : AcceptedKeys(std::move(acceptedKeys)) {}
 
-std::uint64_t BundleInForce::generation() const {
+std::uint64_t ActiveBundle::generation() const {
   return Current == nullptr ? 0 : Current->Generation;
 }
 
-BundleOffer BundleInForce::offer(const std::string &signedBytes) {
+BundleOffer ActiveBundle::offer(const std::string &signedBytes) {
   if (Current != nullptr && signedBytes == Bytes)
     return BundleOffer::NotNewer;
   return adoptIfNewer(
       verifyBundle(decodeSignedBundle(signedBytes), AcceptedKeys), signedBytes);
 }
 
-BundleOffer BundleInForce::offer(const BundleMark &mark) {
+BundleOffer ActiveBundle::offer(const BundleMark &mark) {
   if (mark == this->mark())
     return BundleOffer::NotNewer;
   Bundle bundle = verifyBundle(decodeSignedBundle(mark.Signed), AcceptedKeys);
@@ -26,8 +26,8 @@
   return adoptIfNewer(std::move(bundle), mark.Signed);
 }
 
-BundleOffer BundleInForce::adoptIfNewer(Bundle bundle,
-                                        const std::string &signedBytes) {
+BundleOffer ActiveBundle::adoptIfNewer(Bundle bundle,
+                                       const std::string &signedBytes) {
   const std::uint64_t before = generation();
   // Of two that were signed under one generation all daemons must choose the
   // same one, whatever the order in which they come; see BundleMark.
--- a/Libraries/LibOperator/BundleInForce.h
+++ b/Libraries/LibOperator/ActiveBundle.h
@@ -14,9 +14,9 @@
 /// The one bundle that a daemon acts by. Whoever offers one, the object API or
 /// a peer, it comes into force only if an accepted key signed it and it is
 /// newer. Not thread-safe.
-class BundleInForce {
+class ActiveBundle {
 public:
-  explicit BundleInForce(std::vector<PublicKey> acceptedKeys);
+  explicit ActiveBundle(std::vector<PublicKey> acceptedKeys);
 
   /// Takes the bytes of a signed bundle. Throws a kind of BundleRefused.
   BundleOffer offer(const std::string &signedBytes);
--- a/Libraries/LibOperator/BundleFile.h
+++ b/Libraries/LibOperator/BundleFile.h
@@ -7,7 +7,7 @@
 namespace sorrelbay {
 
 /// Reads a bundle from the TOML that operators write; bundle(5) lists the
-/// keys. A `deadline_in_s` counts from the given time. Throws TomlRefused with
+/// keys. A `deadline_in_s` counts from the given time. Throws TomlError with
 /// every fault in the file: one that is found only after the roll would stop
 /// calls that worked before it.
 Bundle parseBundle(const std::string &text, const std::string &file,
--- a/Libraries/LibOperator/CallStory.cpp
+++ b/Libraries/LibOperator/CallTimeline.cpp
@@ -1,4 +1,4 @@
-#include "LibOperator/CallStory.h"
+#include "LibOperator/CallTimeline.h"
 #include <algorithm>
 #include <nlohmann/json.hpp>
 #include <optional>
@@ -63,19 +63,19 @@
   return it != from.end() && it->is_number() ? it->get<std::int64_t>() : 0;
 }
 
-bool isEnd(const StoryLine &line) { return !line.Outcome.empty(); }
+bool isEnd(const TimelineEntry &line) { return !line.Outcome.empty(); }
 
-bool isBad(const StoryLine &line) {
+bool isBad(const TimelineEntry &line) {
   return isEnd(line) && line.Outcome != "answered" &&
          line.Outcome != "caller_left";
 }
 
 /// Nothing for a line that is cut, torn or not the daemon's.
-std::optional<StoryLine> readLine(const std::string &raw) {
+std::optional<TimelineEntry> readLine(const std::string &raw) {
   const std::size_t begin = raw.find("{\"");
   if (begin == std::string::npos)
     return std::nullopt;
-  StoryLine line;
+  TimelineEntry line;
   line.Text = raw.substr(begin);
   const Json json = Json::parse(line.Text, nullptr, false);
   if (!json.is_object())
@@ -103,24 +103,24 @@
 struct Span {
   std::int64_t FromMs = 0;
   std::int64_t ToMs = 0;
-  bool holds(const StoryLine &line) const {
+  bool holds(const TimelineEntry &line) const {
     return line.TimeMs >= FromMs && line.TimeMs <= ToMs;
   }
 };
 
-Span spanOf(const StoryLine &line) {
+Span spanOf(const TimelineEntry &line) {
   return {line.TimeMs - line.OpenMs - LookBackMs, line.TimeMs + LookAfterMs};
 }
 
 /// How many other calls ended badly at the same upstream at that time, and on
 /// how many hosts: an upstream at which all do is the cause, one call alone is
 /// not.
-std::string othersAt(const StoryLine &end,
-                     const std::vector<StoryLine> &lines) {
+std::string othersAt(const TimelineEntry &end,
+                     const std::vector<TimelineEntry> &lines) {
   const Span span = spanOf(end);
   std::size_t calls = 0;
   std::set<std::string> hosts;
-  for (const StoryLine &it : lines) {
+  for (const TimelineEntry &it : lines) {
     const bool isOther = isBad(it) && it.Upstream == end.Upstream &&
                          it.CallId != end.CallId && span.holds(it);
     if (!isOther)
@@ -134,7 +134,8 @@
          std::to_string(hosts.size()) + " hosts";
 }
 
-std::string causeOf(const StoryLine &end, const std::vector<StoryLine> &lines) {
+std::string causeOf(const TimelineEntry &end,
+                    const std::vector<TimelineEntry> &lines) {
   std::ostringstream out;
   out << end.CallId << " ended as " << end.Outcome << " with " << end.Status
       << " on " << end.Host << " after " << end.OpenMs << " ms";
@@ -147,13 +148,14 @@
 
 } // namespace
 
-std::vector<StoryLine> readLog(std::istream &log, const std::string &callId,
-                               std::size_t &unreadable) {
-  std::vector<StoryLine> out;
+std::vector<TimelineEntry> readTimeline(std::istream &log,
+                                        const std::string &callId,
+                                        std::size_t &unreadable) {
+  std::vector<TimelineEntry> out;
   for (std::string raw; std::getline(log, raw);) {
     if (raw.empty())
       continue;
-    const std::optional<StoryLine> line = readLine(raw);
+    const std::optional<TimelineEntry> line = readLine(raw);
     if (!line)
       ++unreadable;
     else if (line->CallId == callId || !isEnd(*line) || isBad(*line))
@@ -162,17 +164,17 @@
   return out;
 }
 
-CallStory storyOf(const std::string &callId,
-                  const std::vector<StoryLine> &lines) {
-  CallStory story;
-  std::vector<const StoryLine *> ends;
-  for (const StoryLine &it : lines)
+CallTimeline buildTimeline(const std::string &callId,
+                           const std::vector<TimelineEntry> &lines) {
+  CallTimeline story;
+  std::vector<const TimelineEntry *> ends;
+  for (const TimelineEntry &it : lines)
     if (it.CallId == callId && isEnd(it))
       ends.push_back(&it);
-  const auto bears = [&](const StoryLine &it) {
+  const auto bears = [&](const TimelineEntry &it) {
     if (it.CallId == callId)
       return true;
-    return std::any_of(ends.begin(), ends.end(), [&](const StoryLine *end) {
+    return std::any_of(ends.begin(), ends.end(), [&](const TimelineEntry *end) {
       if (!spanOf(*end).holds(it) || !it.CallId.empty())
         return false;
       const bool isOfHost =
@@ -180,14 +182,14 @@
       return isOfHost || (!it.Upstream.empty() && it.Upstream == end->Upstream);
     });
   };
-  for (const StoryLine &it : lines)
+  for (const TimelineEntry &it : lines)
     if (bears(it))
       story.Lines.push_back(it);
   std::stable_sort(story.Lines.begin(), story.Lines.end(),
-                   [](const StoryLine &a, const StoryLine &b) {
+                   [](const TimelineEntry &a, const TimelineEntry &b) {
                      return a.TimeMs < b.TimeMs;
                    });
-  for (const StoryLine *it : ends)
+  for (const TimelineEntry *it : ends)
     story.Causes.push_back(causeOf(*it, lines));
   return story;
 }
--- a/Libraries/LibOperator/CallStory.h
+++ b/Libraries/LibOperator/CallTimeline.h
@@ -8,7 +8,7 @@
 namespace sorrelbay {
 
 /// One line of a daemon's log, as far as a call's story needs it.
-struct StoryLine {
+struct TimelineEntry {
   /// The host's time of day, in milliseconds since 1970; hosts differ a little.
   std::int64_t TimeMs = 0;
   std::string Host;
@@ -27,12 +27,12 @@
 };
 
 /// What the logs of several hosts say of one call.
-struct CallStory {
+struct CallTimeline {
   /// One line for each end of the call, the cause first; empty if no log names
   /// the call.
   std::vector<std::string> Causes;
   /// The lines about the call and those that bear on it, in order of time.
-  std::vector<StoryLine> Lines;
+  std::vector<TimelineEntry> Lines;
   /// Lines that could not be read: cut, torn, or not the daemon's.
   std::size_t Unreadable = 0;
 };
@@ -40,14 +40,15 @@
 /// Reads a log for the call's story. What stands before a line's JSON is passed
 /// over; lines that are no JSON are counted in `unreadable`. Other calls' good
 /// ends are left out: they are most of a log.
-std::vector<StoryLine> readLog(std::istream &log, const std::string &callId,
-                               std::size_t &unreadable);
+std::vector<TimelineEntry> readTimeline(std::istream &log,
+                                        const std::string &callId,
+                                        std::size_t &unreadable);
 
 /// Tells the story of the call by the lines of all hosts. Beside the call's own
 /// lines it takes what its hosts said of the store, the plan and themselves
 /// while it was open and a little before, and what any host said then of the
 /// upstream that had it.
-CallStory storyOf(const std::string &callId,
-                  const std::vector<StoryLine> &lines);
+CallTimeline buildTimeline(const std::string &callId,
+                           const std::vector<TimelineEntry> &lines);
 
 } // namespace sorrelbay
--- a/Libraries/LibOperator/SigningKey.cpp
+++ b/Libraries/LibOperator/SigningKey.cpp
@@ -109,7 +109,7 @@
                           bytesOf(message), message.size()) == 1;
 }
 
-SigningKey::SigningKey(std::unique_ptr<Pair> pair) : Both(std::move(pair)) {}
+SigningKey::SigningKey(std::unique_ptr<Pair> pair) : KeyPair(std::move(pair)) {}
 SigningKey::SigningKey(SigningKey &&) noexcept = default;
 SigningKey::~SigningKey() = default;
 
@@ -138,7 +138,7 @@
   FilePointer file(fdopen(descriptor, "w"));
   const bool isWritten =
       file != nullptr &&
-      PEM_write_PrivateKey(file.get(), Both->Key.get(), nullptr, nullptr, 0,
+      PEM_write_PrivateKey(file.get(), KeyPair->Key.get(), nullptr, nullptr, 0,
                            nullptr, nullptr) == 1 &&
       std::fflush(file.get()) == 0;
   if (!isWritten)
@@ -148,7 +148,7 @@
 PublicKey SigningKey::publicKey() const {
   std::array<unsigned char, PublicKeyBytes> buf{};
   std::size_t n = buf.size();
-  if (EVP_PKEY_get_raw_public_key(Both->Key.get(), buf.data(), &n) != 1)
+  if (EVP_PKEY_get_raw_public_key(KeyPair->Key.get(), buf.data(), &n) != 1)
     throw KeyUnusable("the key has no public half");
   return PublicKey::parse(toHex(buf.data(), n));
 }
@@ -160,7 +160,7 @@
   const bool isSigned =
       context &&
       EVP_DigestSignInit(context.get(), nullptr, nullptr, nullptr,
-                         Both->Key.get()) == 1 &&
+                         KeyPair->Key.get()) == 1 &&
       EVP_DigestSign(context.get(), reinterpret_cast<unsigned char *>(&out[0]),
                      &n, bytesOf(message), message.size()) == 1;
   if (!isSigned)
--- a/Libraries/LibOperator/SigningKey.h
+++ b/Libraries/LibOperator/SigningKey.h
@@ -64,7 +64,7 @@
 private:
   struct Pair;
   explicit SigningKey(std::unique_ptr<Pair> pair);
-  std::unique_ptr<Pair> Both;
+  std::unique_ptr<Pair> KeyPair;
 };
 
 } // namespace sorrelbay
--- a/Tests/LibOperator/TestBundleFile.cpp
+++ b/Tests/LibOperator/TestBundleFile.cpp
@@ -148,7 +148,7 @@
   try {
     parseBundle(replaced(Whole, row), "b.toml", Evening);
     BOOST_ERROR("the bundle was taken");
-  } catch (const TomlRefused &error) {
+  } catch (const TomlError &error) {
     BOOST_CHECK_EQUAL(error.what(), row.Wanted);
   }
 }
--- a/Tests/LibOperator/TestCallStory.cpp
+++ b/Tests/LibOperator/TestCallTimeline.cpp
@@ -1,4 +1,4 @@
-#include "LibOperator/CallStory.h"
+#include "LibOperator/CallTimeline.h"
 #include <boost/test/unit_test.hpp>
 #include <sstream>
 
@@ -18,11 +18,11 @@
    9.9 edge-b {"time_ms":99000,"host":"b","event":"upstream ready","upstream":"u1"}
 )";
 
-CallStory tell(const std::string &id, const std::string &log) {
+CallTimeline tell(const std::string &id, const std::string &log) {
   std::size_t unreadable = 0;
   std::istringstream in(log);
-  const std::vector<StoryLine> lines = readLog(in, id, unreadable);
-  CallStory story = storyOf(id, lines);
+  const std::vector<TimelineEntry> lines = readTimeline(in, id, unreadable);
+  CallTimeline story = buildTimeline(id, lines);
   story.Unreadable = unreadable;
   return story;
 }
@@ -34,7 +34,7 @@
 // A crew leader's booking ended in 502. The operator has the logs of all hosts
 // and the call's id, and needs to know whether it was the host or the desk.
 BOOST_AUTO_TEST_CASE(the_cause_comes_first_with_what_else_failed_there) {
-  const CallStory story = tell("x1", TwoHosts);
+  const CallTimeline story = tell("x1", TwoHosts);
   BOOST_REQUIRE(story.Causes.size() == 1U);
   const std::string &cause = story.Causes.front();
   BOOST_TEST(cause.find("x1 ended as refused with 502 on a after 2002 ms") ==
@@ -46,7 +46,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(lines_that_bear_on_it_follow_in_order_of_time) {
-  const CallStory story = tell("x1", TwoHosts);
+  const CallTimeline story = tell("x1", TwoHosts);
   BOOST_REQUIRE(story.Lines.size() == 4U);
   BOOST_TEST(story.Lines[0].Event == "upstream ready");
   BOOST_TEST(story.Lines[1].Event == "store view failed");
@@ -60,13 +60,13 @@
   const std::string log =
       std::string("vent\":\"call\",\"id\":\"x1\"\n\nnot a log line\n") +
       TwoHosts + R"({"time_ms":7400,"host":"b","event":"cal)";
-  const CallStory story = tell("x1", log);
+  const CallTimeline story = tell("x1", log);
   BOOST_TEST(story.Causes.size() == 1U);
   BOOST_TEST(story.Unreadable == 3U);
 }
 
 BOOST_AUTO_TEST_CASE(a_call_that_no_log_names_has_no_story) {
-  const CallStory story = tell("nowhere", TwoHosts);
+  const CallTimeline story = tell("nowhere", TwoHosts);
   BOOST_TEST(story.Causes.empty());
   BOOST_TEST(story.Lines.empty());
 }
@@ -74,7 +74,7 @@
 BOOST_AUTO_TEST_CASE(a_good_call_and_one_with_a_new_cause_are_told_too) {
   BOOST_TEST(tell("good", TwoHosts).Causes.front() ==
              "good ended as answered with 200 on b after 20 ms");
-  const CallStory story = tell(
+  const CallTimeline story = tell(
       "y", R"({"time_ms":1,"host":"a","event":"call","id":"y",)"
            R"("outcome":"refused","status":503,"cause":"new_one","ms":3})");
   BOOST_TEST(story.Causes.front() ==
