--- a/Libraries/LibBase/Identifier.h
+++ b/Libraries/LibBase/Identifier.h
@@ -46,7 +46,7 @@
 /// One upstream process, by "address:port".
 using UpstreamId = Identifier<struct UpstreamTag>;
 /// The caller's idempotency key, unique within a team.
-using CallKey = Identifier<struct CallKeyTag>;
+using IdempotencyKey = Identifier<struct CallKeyTag>;
 /// One life of one daemon process; a restarted daemon has a new one.
 using IncarnationId = Identifier<struct IncarnationTag>;
 /// Whose report it is: a host's, or a zone's by the host that aggregates for
--- a/Libraries/LibBase/Invariant.cpp
+++ b/Libraries/LibBase/Invariant.cpp
@@ -19,14 +19,14 @@
   return std::exchange(handler(), std::move(next));
 }
 
-void invariantBroken(const char *name, const std::string &seen) {
+void failInvariant(const char *name, const std::string &seen) {
   handler()(name, seen);
   std::abort();
 }
 
 void verifyInvariant(bool holds, const char *name, const char *seen) {
   if (!holds)
-    invariantBroken(name, seen);
+    failInvariant(name, seen);
 }
 
 } // namespace sorrelbay
--- a/Libraries/LibBase/Invariant.h
+++ b/Libraries/LibBase/Invariant.h
@@ -25,6 +25,6 @@
 void verifyInvariant(bool holds, const char *name, const char *seen);
 
 /// Reports an invariant as broken, with a message put together by the caller.
-[[noreturn]] void invariantBroken(const char *name, const std::string &seen);
+[[noreturn]] void failInvariant(const char *name, const std::string &seen);
 
 } // namespace sorrelbay
--- a/Libraries/LibBase/LogBudget.cpp
+++ b/Libraries/LibBase/LogRateLimiter.cpp
@@ -1,9 +1,9 @@
-#include "LibBase/LogBudget.h"
+#include "LibBase/LogRateLimiter.h"
 #include <algorithm>
 
 namespace sorrelbay {
 
-bool LogBudget::take(Instant now) {
+bool LogRateLimiter::take(Instant now) {
   if (FilledAt != Instant{})
     Saved = std::min(Rate, Saved + Rate * toSeconds(now - FilledAt));
   FilledAt = now;
@@ -15,7 +15,7 @@
   return true;
 }
 
-std::int64_t LogBudget::takeLeftOut() {
+std::int64_t LogRateLimiter::takeSuppressedCount() {
   const std::int64_t n = LeftOut;
   LeftOut = 0;
   return n;
--- a/Libraries/LibBase/LogBudget.h
+++ b/Libraries/LibBase/LogRateLimiter.h
@@ -7,15 +7,15 @@
 /// How many log lines of one sort may be written: so many a second, and a
 /// second's worth at once. What is left out is counted, so that a reader knows
 /// that lines are missing. Not thread-safe.
-class LogBudget {
+class LogRateLimiter {
 public:
-  explicit LogBudget(double linesPerSecond)
+  explicit LogRateLimiter(double linesPerSecond)
       : Rate(linesPerSecond), Saved(linesPerSecond) {}
 
   /// Takes a line out of the budget; false if there is none left.
   bool take(Instant now);
   /// Lines that were left out since this was last asked.
-  std::int64_t takeLeftOut();
+  std::int64_t takeSuppressedCount();
 
 private:
   double Rate;
--- a/Libraries/LibBase/TomlReader.cpp
+++ b/Libraries/LibBase/TomlReader.cpp
@@ -26,7 +26,7 @@
   return out;
 }
 
-TomlRefused::TomlRefused(std::vector<TomlFault> faults)
+TomlError::TomlError(std::vector<TomlFault> faults)
     : Error(describeAll(faults)), Faults(std::move(faults)) {}
 
 /// What all readers of one document share.
@@ -71,8 +71,8 @@
   try {
     document->Root = toml::parse(text, file);
   } catch (const toml::parse_error &error) {
-    throw TomlRefused({{file, error.source().begin.line, "",
-                        std::string(error.description())}});
+    throw TomlError({{file, error.source().begin.line, "",
+                      std::string(error.description())}});
   }
   auto node = std::make_shared<Node>();
   node->Table = &document->Root;
@@ -229,7 +229,7 @@
     }
   }
   if (!Whole->Faults.empty())
-    throw TomlRefused(Whole->Faults);
+    throw TomlError(Whole->Faults);
 }
 
 } // namespace sorrelbay
--- a/Libraries/LibBase/TomlReader.h
+++ b/Libraries/LibBase/TomlReader.h
@@ -21,9 +21,9 @@
 std::string describe(const TomlFault &fault);
 
 /// A TOML file was refused; it carries every fault found, not just the first.
-class TomlRefused : public Error {
+class TomlError : public Error {
 public:
-  explicit TomlRefused(std::vector<TomlFault> faults);
+  explicit TomlError(std::vector<TomlFault> faults);
   const std::vector<TomlFault> &faults() const { return Faults; }
 
 private:
@@ -35,7 +35,7 @@
 /// one pass finds all faults. Call finish() on the root at the end.
 class TomlReader {
 public:
-  /// Parses the text; the file name is only used in faults. Throws TomlRefused
+  /// Parses the text; the file name is only used in faults. Throws TomlError
   /// when it isn't TOML at all.
   static TomlReader parse(const std::string &text, const std::string &file);
   TomlReader(TomlReader &&) noexcept;
@@ -61,7 +61,7 @@
   /// Notes a fault of the caller's own finding about a key of this table, such
   /// as values that clash.
   void addFault(const char *key, const std::string &reason);
-  /// Notes every key that no accessor asked for, then throws TomlRefused if
+  /// Notes every key that no accessor asked for, then throws TomlError if
   /// any fault was noted in this document.
   void finish();
 
--- a/Libraries/LibBase/Trace.cpp
+++ b/Libraries/LibBase/Trace.cpp
@@ -15,7 +15,7 @@
 
 static std::atomic<bool> SpansAreWritten{false};
 
-void setSpansAreWritten(bool areWritten) { SpansAreWritten = areWritten; }
+void setSpanOutputEnabled(bool areWritten) { SpansAreWritten = areWritten; }
 
 std::string randomHex(std::size_t n) {
   thread_local std::mt19937_64 engine{std::random_device{}()};
--- a/Libraries/LibBase/Trace.h
+++ b/Libraries/LibBase/Trace.h
@@ -50,6 +50,6 @@
 };
 
 /// Whether spans are written; off by default, so that tests stay quiet.
-void setSpansAreWritten(bool areWritten);
+void setSpanOutputEnabled(bool areWritten);
 
 } // namespace sorrelbay
--- a/Tests/LibBase/TestTomlReader.cpp
+++ b/Tests/LibBase/TestTomlReader.cpp
@@ -39,8 +39,8 @@
   TomlReader reader = TomlReader::parse(row.Text, "s.toml");
   reader.requiredInteger("port", 0, 65535);
   reader.table("peer").text("host", "");
-  BOOST_CHECK_EXCEPTION(reader.finish(), TomlRefused,
-                        [&row](const TomlRefused &error) {
+  BOOST_CHECK_EXCEPTION(reader.finish(), TomlError,
+                        [&row](const TomlError &error) {
                           return std::string(error.what()) == row.Wanted;
                         });
 }
