--- a/Libraries/LibHttp/AsyncHttpClient.cpp
+++ b/Libraries/LibHttp/AsyncHttpClient.cpp
@@ -87,7 +87,7 @@
   Duration OtherKeeps = hours(1);
   bool IsHead = false;
   bool IsActive = false;
-  bool IsOurs = false;
+  bool IsForThisCall = false;
   bool IsWriting = false;
   bool IsPaused = false;
   bool WaitsForResume = false;
@@ -188,7 +188,7 @@
     self->IsConnected = true;
     ErrorCode ignored;
     self->Timer.cancel(ignored);
-    prepareSocket(self->Socket);
+    configureSocket(self->Socket);
     self->send();
   });
 }
@@ -259,8 +259,8 @@
   const std::size_t at = keep.find("timeout=");
   if (at != std::string::npos)
     OtherKeeps = seconds(std::atoi(keep.c_str() + at + 8));
-  IsOurs = IsActive && Hooks.IsOurs(head);
-  if (IsOurs)
+  IsForThisCall = IsActive && Hooks.IsForThisCall(head);
+  if (IsForThisCall)
     Hooks.OnHead(head);
   else
     ++All->Counts.LateAnswers;
@@ -296,7 +296,7 @@
 
 void Channel::bodyRead(ErrorCode ec) {
   const std::size_t n = Block.size() - Parser->get().body().size;
-  if (n != 0 && IsOurs)
+  if (n != 0 && IsForThisCall)
     Hooks.OnBody({Block.data(), n});
   if (IsClosed)
     return;
@@ -308,7 +308,7 @@
 void Channel::replyEnded() {
   const bool keeps = Parser->keep_alive() && !IsWriting;
   Parser.reset();
-  if (!IsOurs) {
+  if (!IsForThisCall) {
     // The answer to an earlier call; ours is behind it.
     if (!keeps)
       return fail(HttpFailure::Broken);
@@ -331,7 +331,7 @@
 
 void Channel::keep() {
   const Duration atMost = OtherKeeps - milliseconds(500);
-  const Duration limit = std::min(All->Settings.KeepIdle, atMost);
+  const Duration limit = std::min(All->Settings.KeepAliveTimeout, atMost);
   if (limit <= Duration::zero() || All->IsEnding)
     return close();
   UsedAt = std::chrono::steady_clock::now();
--- a/Libraries/LibHttp/AsyncHttpClient.h
+++ b/Libraries/LibHttp/AsyncHttpClient.h
@@ -39,7 +39,7 @@
 struct HttpCallHooks {
   /// Whether the answer belongs to this call. One that doesn't is a late answer
   /// to an earlier call; it is read over, and the next one awaited.
-  std::function<bool(const HttpReplyHead &)> IsOurs;
+  std::function<bool(const HttpReplyHead &)> IsForThisCall;
   std::function<void(const HttpReplyHead &)> OnHead;
   std::function<void(std::string_view)> OnBody;
   std::function<void()> OnEnd;
@@ -70,7 +70,7 @@
 struct AsyncHttpClientSettings {
   Duration ConnectTimeout = milliseconds(500);
   /// How long a quiet connection is kept for the next call.
-  Duration KeepIdle = seconds(4);
+  Duration KeepAliveTimeout = seconds(4);
   /// The longest answer head, in bytes.
   std::size_t MaxHeadBytes = 32UL * 1024;
 };
--- a/Libraries/LibHttp/AsyncHttpServer.cpp
+++ b/Libraries/LibHttp/AsyncHttpServer.cpp
@@ -58,7 +58,7 @@
              std::optional<std::uint64_t> length);
   void write(std::string_view bytes);
   void end();
-  std::size_t waitingBytes() const { return Waiting.size() + Sending.size(); }
+  std::size_t queuedBytes() const { return Waiting.size() + Sending.size(); }
 
   std::function<void()> Gone;
   std::function<void()> Drained;
@@ -140,10 +140,10 @@
     const auto on = release();
     on->close();
   }
-  std::size_t waitingBytes() const override {
-    return On ? On->waitingBytes() : 0;
+  std::size_t queuedBytes() const override {
+    return On ? On->queuedBytes() : 0;
   }
-  void onGone(std::function<void()> hook) override {
+  void onClientDisconnected(std::function<void()> hook) override {
     if (On)
       On->Gone = std::move(hook);
   }
@@ -463,7 +463,7 @@
           });
           return;
         }
-        prepareSocket(socket);
+        configureSocket(socket);
         auto connection = std::make_shared<Connection>(self, std::move(socket));
         self->Connections.insert(connection);
         connection->readNext();
--- a/Libraries/LibHttp/BeastCommon.cpp
+++ b/Libraries/LibHttp/BeastCommon.cpp
@@ -24,7 +24,7 @@
   ::setsockopt(socket.native_handle(), level, name, &value, sizeof(value));
 }
 
-void prepareSocket(Tcp::socket &socket) {
+void configureSocket(Tcp::socket &socket) {
   set(socket, IPPROTO_TCP, TCP_NODELAY, 1);
   set(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, SilenceLimitMs);
   set(socket, SOL_SOCKET, SO_KEEPALIVE, 1);
--- a/Libraries/LibHttp/BeastCommon.h
+++ b/Libraries/LibHttp/BeastCommon.h
@@ -19,7 +19,7 @@
 /// Small answers must not wait for more, and a peer that has gone silent must
 /// be noticed: unacknowledged bytes and unanswered probes end the connection
 /// after two seconds, where it would otherwise hang for minutes.
-void prepareSocket(Tcp::socket &socket);
+void configureSocket(Tcp::socket &socket);
 
 /// Copies all header fields of a message that was read.
 template <typename Fields> HttpHeaders headersOf(const Fields &fields) {
--- a/Libraries/LibHttp/HttpExchange.h
+++ b/Libraries/LibHttp/HttpExchange.h
@@ -32,9 +32,9 @@
   /// Cuts the connection.
   virtual void abort() = 0;
   /// Bytes that wait to be sent, because the client reads slowly.
-  virtual std::size_t waitingBytes() const = 0;
+  virtual std::size_t queuedBytes() const = 0;
   /// Called once if the client leaves before the answer has ended.
-  virtual void onGone(std::function<void()> hook) = 0;
+  virtual void onClientDisconnected(std::function<void()> hook) = 0;
   /// Called each time the bytes that waited have been sent.
   virtual void onDrained(std::function<void()> hook) = 0;
 };
--- a/Libraries/LibHttp/HttpServer.cpp
+++ b/Libraries/LibHttp/HttpServer.cpp
@@ -61,7 +61,7 @@
   httplib::Server Server;
   int ListenSocket = -1;
   std::thread Listener;
-  FailureBody MakeFailure;
+  ErrorResponder MakeFailure;
 };
 
 HttpServer::HttpServer(const HttpServerLimits &limits)
@@ -112,7 +112,7 @@
 
 HttpServer::~HttpServer() { stop(); }
 
-void HttpServer::setFailureBody(FailureBody make) {
+void HttpServer::setErrorResponder(ErrorResponder make) {
   Running->MakeFailure = std::move(make);
 }
 
--- a/Libraries/LibHttp/HttpServer.h
+++ b/Libraries/LibHttp/HttpServer.h
@@ -26,7 +26,7 @@
   /// What to do with answers that no handler made: unknown path, body too
   /// large, handler failed. It is given the status and
   /// what was read of the request.
-  using FailureBody = std::function<HttpResponse(int, const HttpRequest &)>;
+  using ErrorResponder = std::function<HttpResponse(int, const HttpRequest &)>;
 
   explicit HttpServer(const HttpServerLimits &limits = HttpServerLimits());
   ~HttpServer();
@@ -37,7 +37,7 @@
   /// routes are set before start().
   void route(const std::string &method, const std::string &pattern,
              Handler handler);
-  void setFailureBody(FailureBody make);
+  void setErrorResponder(ErrorResponder make);
   /// Binds "ip:port" (port 0: the kernel chooses); returns the bound "ip:port".
   /// Throws HttpListenFailed.
   std::string bind(const std::string &address);
--- a/Tests/LibHttp/TestAsyncHttp.cpp
+++ b/Tests/LibHttp/TestAsyncHttp.cpp
@@ -27,7 +27,7 @@
 
   HttpCallHooks hooks() {
     HttpCallHooks out;
-    out.IsOurs = [](const HttpReplyHead &) { return true; };
+    out.IsForThisCall = [](const HttpReplyHead &) { return true; };
     out.OnHead = [this](const HttpReplyHead &head) { Head = head; };
     out.OnBody = [this](std::string_view bytes) { Body.append(bytes); };
     out.OnEnd = [this] { HasEnded = true; };
@@ -119,7 +119,7 @@
   bool isGone = false;
   pair.Handle = [&](std::shared_ptr<HttpExchange> it) {
     open = std::move(it);
-    open->onGone([&] { isGone = true; });
+    open->onClientDisconnected([&] { isGone = true; });
   };
   const auto handle = pair.Client.send(pair.Server.address(), {}, pair.hooks());
   pair.runUntil([&] { return open != nullptr; });
@@ -159,7 +159,7 @@
     std::string body;
     bool hasEnded = false;
     HttpCallHooks hooks;
-    hooks.IsOurs = [](const HttpReplyHead &) { return true; };
+    hooks.IsForThisCall = [](const HttpReplyHead &) { return true; };
     hooks.OnHead = [](const HttpReplyHead &) {};
     hooks.OnBody = [&](std::string_view bytes) { body.append(bytes); };
     hooks.OnEnd = [&] { hasEnded = true; };
--- a/Tests/LibHttp/TestHttpServer.cpp
+++ b/Tests/LibHttp/TestHttpServer.cpp
@@ -9,7 +9,7 @@
 using namespace sorrelbay;
 
 /// Connects within the time, or gives -1.
-static int connectWithin(const std::string &address, Duration patience) {
+static int connectWithin(const std::string &address, Duration waitLimit) {
   const std::size_t colon = address.rfind(':');
   sockaddr_in to{};
   to.sin_family = AF_INET;
@@ -17,7 +17,7 @@
       htons(static_cast<std::uint16_t>(std::stoi(address.substr(colon + 1))));
   inet_pton(AF_INET, address.substr(0, colon).c_str(), &to.sin_addr);
   const int out = socket(AF_INET, SOCK_STREAM, 0);
-  const timeval limit{duration_cast<seconds>(patience).count(), 0};
+  const timeval limit{duration_cast<seconds>(waitLimit).count(), 0};
   setsockopt(out, SOL_SOCKET, SO_SNDTIMEO, &limit, sizeof(limit));
   if (connect(out, reinterpret_cast<const sockaddr *>(&to), sizeof(to)) == 0)
     return out;
@@ -54,7 +54,7 @@
 // that for a path that it doesn't have, the caller would hear that nothing ran.
 BOOST_AUTO_TEST_CASE(server_leaves_a_handlers_empty_failure_alone) {
   HttpServer server;
-  server.setFailureBody([](int status, const HttpRequest &request) {
+  server.setErrorResponder([](int status, const HttpRequest &request) {
     HttpResponse out;
     out.Status = status;
     out.Body = "made for " + request.Path;
