--- a/Libraries/LibCaller/CallContext.cpp
+++ b/Libraries/LibCaller/CallContext.cpp
@@ -65,7 +65,7 @@
   CallContext context;
   context.FromTeam = TeamId(boundedHeader(request, "X-Team"));
   context.OnRoute = RouteId(boundedHeader(request, "X-Route"));
-  context.Key = CallKey(boundedHeader(request, "Idempotency-Key"));
+  context.Key = IdempotencyKey(boundedHeader(request, "Idempotency-Key"));
   context.Attempt = numberHeader(request, "X-Attempt", 0, MaxAttempt);
   const std::uint64_t wait =
       numberHeader(request, "X-Deadline-Ms", DefaultDeadlineMs, MaxDeadlineMs);
--- a/Libraries/LibCaller/CallContext.h
+++ b/Libraries/LibCaller/CallContext.h
@@ -20,7 +20,7 @@
   /// `X-Route`, for model calls; the operation of desk calls.
   RouteId OnRoute;
   /// `Idempotency-Key`; empty if there is none.
-  CallKey Key;
+  IdempotencyKey Key;
   /// `X-Attempt`: 1 for the first try of a key, one more for each repeat; 0
   /// where the caller doesn't say.
   std::uint64_t Attempt = 0;
--- a/Libraries/LibCaller/Problem.cpp
+++ b/Libraries/LibCaller/Problem.cpp
@@ -20,7 +20,7 @@
 Problem::Problem(int status, std::string type, std::string detail,
                  Outcome outcome, std::optional<Duration> retryAfter)
     : Error(std::move(detail)), Status(status), Type(std::move(type)),
-      Result(outcome), ComeBack(retryAfter) {}
+      Result(outcome), RetryAfterDelay(retryAfter) {}
 
 Problem Problem::withElsewhere(std::vector<std::string> addresses) const {
   Problem out = *this;
--- a/Libraries/LibCaller/Problem.h
+++ b/Libraries/LibCaller/Problem.h
@@ -34,7 +34,7 @@
   const std::string &type() const { return Type; }
   Outcome outcome() const { return Result; }
   /// When to come back, if coming back may help.
-  const std::optional<Duration> &retryAfter() const { return ComeBack; }
+  const std::optional<Duration> &retryAfter() const { return RetryAfterDelay; }
   /// Other daemons that the caller may go to at once, "ip:port" each.
   const std::vector<std::string> &elsewhere() const { return Elsewhere; }
   /// The same problem with those addresses.
@@ -44,7 +44,7 @@
   int Status;
   std::string Type;
   Outcome Result;
-  std::optional<Duration> ComeBack;
+  std::optional<Duration> RetryAfterDelay;
   std::vector<std::string> Elsewhere;
 };
 
--- a/Tests/LibCaller/TestDeskCallReply.cpp
+++ b/Tests/LibCaller/TestDeskCallReply.cpp
@@ -48,7 +48,7 @@
 BOOST_DATA_TEST_CASE(desk_call_answer_survives_its_way, data::make(DoneRows),
                      answer) {
   const DeskCallAnswer called = parseDeskCall(asReply(renderDeskCall(answer)));
-  const CallId call{TeamId("crew"), CallKey("visit-1")};
+  const CallId call{TeamId("crew"), IdempotencyKey("visit-1")};
   const DeskCallAnswer asked =
       parseCallQuery(asReply(renderCallQuery(call, 1, answer)));
   for (const DeskCallAnswer &it : {called, asked}) {
