--- a/Libraries/LibDesk/DeskClient.h
+++ b/Libraries/LibDesk/DeskClient.h
@@ -26,7 +26,7 @@
   std::string RequestId;
   RouteId Operation;
   TeamId FromTeam;
-  CallKey Key;
+  IdempotencyKey Key;
   std::string Body;
   TraceContext Trace;
   Duration Timeout = seconds(5);
