--- a/Libraries/LibCloud/CloudNotices.cpp
+++ b/Libraries/LibCloud/CloudNotices.cpp
@@ -13,18 +13,18 @@
   ReclaimNotice notice;
   notice.Sequence = json.at("sequence").get<std::uint64_t>();
   notice.Address = json.at("address").get<std::string>();
-  notice.GoesAt =
+  notice.ReclaimAt =
       fromEpochMilliseconds(json.at("goes_at_ms").get<std::int64_t>());
   return notice;
 }
 
-std::vector<ReclaimNotice> fetchNotices(const std::string &platform,
-                                        std::uint64_t known,
-                                        Duration patience) {
+std::vector<ReclaimNotice> fetchReclaimNotices(const std::string &platform,
+                                               std::uint64_t known,
+                                               Duration waitLimit) {
   HttpCall call;
   call.Path = "/v1/cloud/notices?after=" + std::to_string(known) +
-              "&timeout_ms=" + std::to_string(toMilliseconds(patience));
-  call.ReadTimeout = patience + NetworkAllowance;
+              "&timeout_ms=" + std::to_string(toMilliseconds(waitLimit));
+  call.ReadTimeout = waitLimit + NetworkAllowance;
   std::vector<ReclaimNotice> out;
   try {
     const HttpReply reply = sendOnce(platform, call);
--- a/Libraries/LibCloud/CloudNotices.h
+++ b/Libraries/LibCloud/CloudNotices.h
@@ -20,12 +20,13 @@
   std::uint64_t Sequence = 0;
   /// The address, "ip:port", of what runs on the host.
   std::string Address;
-  Instant GoesAt{};
+  Instant ReclaimAt{};
 };
 
 /// The notices after the known one; waits up to the patience for a first one.
 /// Throws CloudUnavailable.
-std::vector<ReclaimNotice> fetchNotices(const std::string &platform,
-                                        std::uint64_t known, Duration patience);
+std::vector<ReclaimNotice> fetchReclaimNotices(const std::string &platform,
+                                               std::uint64_t known,
+                                               Duration waitLimit);
 
 } // namespace sorrelbay
