--- a/Tests/platform/TestTranslation.cpp
+++ b/Tests/platform/TestTranslation.cpp
@@ -52,11 +52,11 @@
   BOOST_TEST(plan.Version == 7U);
   BOOST_REQUIRE(plan.Routes.size() == 4U);
   BOOST_TEST(plan.Routes[0].IsStream);
-  BOOST_TEST((plan.Routes[0].Kind == Repeatability::OnceOnly));
-  BOOST_TEST(plan.Routes[0].Split.size() == 2U);
+  BOOST_TEST((plan.Routes[0].Kind == Repeatability::NonIdempotent));
+  BOOST_TEST(plan.Routes[0].ServiceWeights.size() == 2U);
   BOOST_TEST((plan.Routes[1].Kind == Repeatability::Idempotent));
   BOOST_TEST((plan.Routes[2].Kind == Repeatability::Idempotent));
-  BOOST_TEST((plan.Routes[3].Kind == Repeatability::OnceOnly));
+  BOOST_TEST((plan.Routes[3].Kind == Repeatability::NonIdempotent));
   BOOST_TEST(plan.Routes[3].IsPublic);
   BOOST_TEST(plan.Services[0].Engine->Slots == 48);
   BOOST_TEST(plan.Services[0].Scaling->ZonePrices.at(ZoneId("z2")) == 0.8);
@@ -65,9 +65,9 @@
   BOOST_TEST(plan.Services[1].ColdRate == 0.0);
   BOOST_TEST(plan.Teams[0].CountsTokens);
   BOOST_TEST(plan.Teams[0].Keys.size() == 2U);
-  BOOST_TEST(plan.Teams[0].Homes.size() == 1U);
-  BOOST_TEST(plan.Routes[0].Homes.empty());
-  BOOST_TEST(plan.Routes[1].Homes.size() == 2U);
+  BOOST_TEST(plan.Teams[0].PermittedRegions.size() == 1U);
+  BOOST_TEST(plan.Routes[0].PermittedRegions.empty());
+  BOOST_TEST(plan.Routes[1].PermittedRegions.size() == 2U);
   BOOST_TEST((plan.Limits.IdleTimeout == seconds(15)));
 }
 
@@ -82,10 +82,10 @@
   const auto good = nlohmann::json::parse(
       R"({"Service":"s","Address":"10.0.0.1:8","Zone":"z","Version":"v1","Slots":48,"State":"ready","Seq":4})");
   BOOST_TEST(replicaFrom("i", good).Slots == 48);
-  BOOST_TEST((replicaFrom("i", good).ColdFor == Duration::zero()));
+  BOOST_TEST((replicaFrom("i", good).ColdDuration == Duration::zero()));
   auto cold = good;
   cold["ColdLeftMs"] = 1500;
-  BOOST_TEST((replicaFrom("i", cold).ColdFor == milliseconds(1500)));
+  BOOST_TEST((replicaFrom("i", cold).ColdDuration == milliseconds(1500)));
   for (const auto &[key, value] : changes) {
     auto bad = good;
     bad[key] = nlohmann::json::parse(value);
@@ -99,9 +99,9 @@
   const ServingCall call = callFrom(request());
   BOOST_TEST(call.Id == "id1");
   BOOST_TEST(call.Key == "k1");
-  BOOST_TEST((call.Patience == Duration(milliseconds(1500))));
+  BOOST_TEST((call.WaitLimit == Duration(milliseconds(1500))));
   BOOST_TEST(*call.PromptTokens == 1460);
-  BOOST_TEST(call.MostOutputTokens == 80);
+  BOOST_TEST(call.MaxOutputTokens == 80);
   BOOST_REQUIRE(call.Prompt.size() == 3U);
   BOOST_TEST(call.Prompt[1].Id == "91");
   BOOST_TEST(call.Prompt[2].Tokens == 250);
@@ -110,9 +110,9 @@
 // A caller writes another team's name, or another call's memory, into its
 // request. Passed on, it would be billed to that team or read its prompt.
 BOOST_AUTO_TEST_CASE(an_upstream_gets_the_systems_headers_not_the_callers) {
-  UpstreamTry attempt;
+  UpstreamAttempt attempt;
   attempt.Replica = UpstreamId("i-1");
-  attempt.Patience = milliseconds(1200);
+  attempt.WaitLimit = milliseconds(1200);
   attempt.Team = TeamId("t1");
   attempt.Priority = 12;
   const HttpCall call = upstreamCall(request(), attempt);
@@ -139,7 +139,7 @@
       {{429, {}, {}}, false},
       {{500, {}, {}}, false}};
   for (const auto &[head, isNotRun] : cases)
-    BOOST_TEST(verdictFrom(head).IsNotRun == isNotRun);
+    BOOST_TEST(replyInfoFrom(head).IsNotRun == isNotRun);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
