--- a/Utilities/sorrelbay-bench/Admission.cpp
+++ b/Utilities/sorrelbay-bench/Admission.cpp
@@ -96,7 +96,7 @@
     std::vector<AdmissionAction> actions;
     while (state->Free > 0 && !state->Waiting.empty()) {
       actions.push_back({AdmissionKind::Start, state->Waiting.front(),
-                         RefusalCause::None, Duration{}});
+                         AdmissionRefusalCause::None, Duration{}});
       state->Waiting.pop_front();
       --state->Free;
     }
@@ -122,7 +122,7 @@
 
 Gate admissionGate(const Deployment &deployment) {
   AdmissionSettings settings;
-  settings.Places = placesOf(deployment);
+  settings.CallSlots = placesOf(deployment);
   settings.InitialDrainRate =
       deployment.Replicas / MeanService / deployment.EntryHosts;
   const auto admission = std::make_shared<Admission>(settings);
--- a/Utilities/sorrelbay-bench/Canary.cpp
+++ b/Utilities/sorrelbay-bench/Canary.cpp
@@ -84,7 +84,7 @@
   for (const CanaryFault &fault : faultsOf(base)) {
     CanaryScenario scenario = base;
     scenario.Fault = fault;
-    scenario.EndsWhenTakenBack = true;
+    scenario.EndsWhenRolledBack = true;
     const double calls = scenario.CallsPerSecond * toSeconds(scenario.Deadline);
     for (std::uint64_t n = 0; n < BadMovesPerSeed; ++n) {
       const MoveResult result =
@@ -102,7 +102,7 @@
       double &latest = values["last call after the evidence"];
       latest = std::max(latest, toSeconds(result.LastAfterEvidence));
       values["bad versions taken back"] +=
-          result.IsTakenBack
+          result.IsRolledBack
               ? Percent * each / static_cast<double>(faultsOf(base).size())
               : 0;
     }
@@ -120,7 +120,7 @@
     }
     const MoveResult result = policy.Run(scenario, seed * GoodMovesPerSeed + n);
     const double each = Percent / static_cast<double>(GoodMovesPerSeed);
-    values["good versions taken back"] += result.IsTakenBack ? each : 0;
+    values["good versions taken back"] += result.IsRolledBack ? each : 0;
     values["of these for want of evidence"] += result.IsForDeadline ? each : 0;
     values["good versions in time"] += result.IsInTime ? each : 0;
     values["forced steps of a good version"] +=
--- a/Utilities/sorrelbay-bench/CanaryModel.cpp
+++ b/Utilities/sorrelbay-bench/CanaryModel.cpp
@@ -131,8 +131,8 @@
   }
 };
 
-MovePlan planOf(const CanaryScenario &scenario) {
-  MovePlan plan;
+RolloutPlan planOf(const CanaryScenario &scenario) {
+  RolloutPlan plan;
   plan.New = NewVersion;
   plan.Old = OldVersion;
   plan.Policy = scenario.Policy;
@@ -189,7 +189,7 @@
   RolloutSettings Settings;
   std::mt19937_64 Random;
   Upstreams Calls;
-  MovePlan Plan;
+  RolloutPlan Plan;
   CanaryJudge AllSeeing;
   EvidencePool AllEvidence;
   std::vector<Daemon> Daemons;
@@ -206,10 +206,10 @@
   MoveResult Result;
 
   bool isOver() const {
-    return Scenario.EndsWhenTakenBack && VetoAt && Now > *VetoAt + AfterVeto;
+    return Scenario.EndsWhenRolledBack && VetoAt && Now > *VetoAt + AfterVeto;
   }
 
-  static std::vector<RouteId> idsOf(const MovePlan &plan) {
+  static std::vector<RouteId> idsOf(const RolloutPlan &plan) {
     std::vector<RouteId> out;
     for (const Route &it : plan.Routes)
       out.push_back(it.Id);
@@ -272,7 +272,7 @@
       return;
     VetoAt = Now;
     Result.IsForDeadline = daemon.Knowledge.Vetoes.begin()->second.Reason ==
-                           TakeBackReason::Deadline;
+                           RollbackReason::Deadline;
     EvidenceAt = Start;
     for (const auto &[source, counts] : daemon.Knowledge.Evidence.sources()) {
       std::uint64_t calls = 0;
@@ -326,16 +326,16 @@
     const Instant askedAt = Now;
     const unsigned life = Daemons[from].Lives;
     post(to, Daemons[to].Lives, [this, from, to, said, askedAt, life] {
-      hear(to, *said);
+      receive(to, *said);
       const auto answer = say(Daemons[to]);
       post(from, life, [this, from, to, answer, askedAt] {
         Daemons[from].Freshness.answered(Daemons[to].Self.Host, askedAt);
-        hear(from, *answer);
+        receive(from, *answer);
       });
     });
   }
 
-  void hear(std::size_t n, const RolloutKnowledge &said) {
+  void receive(std::size_t n, const RolloutKnowledge &said) {
     Daemon &daemon = Daemons[n];
     const std::size_t vetoes = daemon.Knowledge.Vetoes.size();
     if (!merge(daemon.Knowledge, said))
@@ -405,7 +405,7 @@
   std::size_t newReplicas(const Daemon &daemon) const {
     if (!Variant.PacksReplicas)
       return Scenario.Replicas;
-    return packedReplicas(Calls.replicas(), daemon.Part->callShare(),
+    return canaryReplicas(Calls.replicas(), daemon.Part->callShare(),
                           Plan.ReplicaShare)
         .size();
   }
@@ -452,7 +452,7 @@
     Daemons[n].IsPaused = true;
     const unsigned life = Daemons[n].Lives;
     const double part = Calls.draw();
-    at(Now + fromSeconds(toSeconds(Scenario.LongestPause) * part),
+    at(Now + fromSeconds(toSeconds(Scenario.MaxEventGap) * part),
        [this, n, life] {
          if (Daemons[n].Lives == life)
            goOn(n);
@@ -470,8 +470,8 @@
   void finish(const Daemon &daemon) {
     const RolloutStatus status = daemon.Part->status();
     Result.ForcedSteps = std::max(Result.ForcedSteps, status.ForcedSteps);
-    Result.IsTakenBack |= !daemon.Knowledge.Vetoes.empty();
-    Result.IsInTime = IsFullInTime && !Result.IsTakenBack;
+    Result.IsRolledBack |= !daemon.Knowledge.Vetoes.empty();
+    Result.IsInTime = IsFullInTime && !Result.IsRolledBack;
   }
 };
 
@@ -495,7 +495,7 @@
        now += fromSeconds(gap(random))) {
     ++result.Calls;
     const ModelRoute &route = calls.drawRoute();
-    share = result.IsTakenBack ? 0 : policy.Share(calls.passed(now));
+    share = result.IsRolledBack ? 0 : policy.Share(calls.passed(now));
     if (calls.draw() >= share) {
       calls.callOld(now);
       continue;
@@ -513,9 +513,9 @@
       ++seen.Failures;
     if (outcome == UpstreamOutcome::Late)
       ++seen.Late;
-    result.IsTakenBack = policy.IsBad(seen);
+    result.IsRolledBack = policy.IsBad(seen);
   }
-  result.IsInTime = !result.IsTakenBack && share >= 1;
+  result.IsInTime = !result.IsRolledBack && share >= 1;
   return result;
 }
 
--- a/Utilities/sorrelbay-bench/CanaryModel.h
+++ b/Utilities/sorrelbay-bench/CanaryModel.h
@@ -45,7 +45,7 @@
   Duration After{};
   /// Whether it ends half a minute after the first veto; nothing is learnt from
   /// the rest.
-  bool EndsWhenTakenBack = false;
+  bool EndsWhenRolledBack = false;
   CanaryFault Fault;
   /// Rates of a version without a fault.
   double UsualFailures = 0.01;
@@ -63,7 +63,7 @@
   /// Chances, for each daemon and second, of a restart and of a pause.
   double Restarts = 0;
   double Pauses = 0;
-  Duration LongestPause = seconds(20);
+  Duration MaxEventGap = seconds(20);
 };
 
 /// Parts of the mechanism that can be left out, to show what each is for.
@@ -86,7 +86,7 @@
   std::uint64_t CallsToFault = 0;
   /// Calls to the new version that failed or were late by the fault.
   std::uint64_t Harmed = 0;
-  bool IsTakenBack = false;
+  bool IsRolledBack = false;
   /// Taken back since the evidence could not be had in time.
   bool IsForDeadline = false;
   /// At full share before the deadline, and not taken back.
--- a/Utilities/sorrelbay-bench/Capacity.cpp
+++ b/Utilities/sorrelbay-bench/Capacity.cpp
@@ -85,7 +85,7 @@
                         {"conversation" + std::to_string(n % 50), 3500},
                         {"own", 3000}};
       const auto choice = table.choose(request, at);
-      table.noteSent(choice->Id, {choice->ToRead, 9000}, at);
+      table.noteSent(choice->Id, {choice->TokensToPrefill, 9000}, at);
       table.notePrompt(choice->Id, request.Prompt, at);
     };
     addSlope(figures, "prompts", "place a prompt", {"replicas", count},
@@ -116,7 +116,8 @@
 LedgerEdit intentOf(std::size_t n) {
   LedgerEdit edit;
   edit.Kind = EditKind::PutIntent;
-  edit.Call = {TeamId("crew-leads"), CallKey("visit-" + std::to_string(n))};
+  edit.Call = {TeamId("crew-leads"),
+               IdempotencyKey("visit-" + std::to_string(n))};
   edit.Attempt = 1;
   edit.Owner = IncarnationId("0123456789abcdef");
   edit.Nonce = n;
--- a/Utilities/sorrelbay-bench/EngineFleet.cpp
+++ b/Utilities/sorrelbay-bench/EngineFleet.cpp
@@ -9,10 +9,10 @@
 const ServiceId Service("model");
 constexpr Duration Tick = milliseconds(5);
 constexpr Duration ReportInterval = milliseconds(250);
-constexpr Duration BootTime = seconds(4);
+constexpr Duration StartupTime = seconds(4);
 constexpr double SpanSeconds = 2;
 /// Calls wait no longer for their first token.
-constexpr Duration Patience = seconds(6);
+constexpr Duration WaitLimit = seconds(6);
 /// The tail of sizes.
 constexpr double SizeSpread = 0.8;
 
@@ -20,9 +20,9 @@
 
 ScalingBounds boundsOf(const EngineFleetPlan &plan) {
   ScalingBounds bounds;
-  bounds.Least = 1;
-  bounds.Most = plan.EnginesPerZone * 2;
-  bounds.BootTime = BootTime;
+  bounds.MinReplicas = 1;
+  bounds.MaxReplicas = plan.EnginesPerZone * 2;
+  bounds.StartupTime = StartupTime;
   bounds.ReclaimablePrice = 0.22;
   return bounds;
 }
@@ -53,7 +53,7 @@
 EngineFleet::EngineFleet(const EngineFleetPlan &plan)
     : Plan(plan), Random(plan.Seed),
       Replicas(boundsOf(plan), shapeOf(plan.Make), plan.Replicas),
-      Limits(plan.WaitingShare) {
+      Limits(plan.QueueWaitShare) {
   for (int n = 0; n < plan.Hosts; ++n)
     Hosts.push_back(std::make_unique<Host>(plan.Table));
   for (int n = 0; n < plan.EnginesPerZone; ++n)
@@ -133,11 +133,12 @@
     return;
   }
   const EngineModel &model = host.Table.modelOf(Service);
-  host.Demand.note(Service,
-                   model.readingTime(static_cast<double>(choice->ToRead)), Now);
+  host.Demand.note(
+      Service, model.prefillTime(static_cast<double>(choice->TokensToPrefill)),
+      Now);
   const Duration longest =
-      Limits.longestWait({Service, it.Priority, it.Target});
-  const bool isLimited = Plan.WaitingShare > 0 && model.isSure();
+      Limits.maxQueueWait({Service, it.Priority, it.Target});
+  const bool isLimited = Plan.QueueWaitShare > 0 && model.hasEnoughSamples();
   if (isLimited && choice->Wait > longest) {
     for (CallTally *tally :
          {&Result.All, &Result.ByKind[kind], &Result.BySpan[call.Span]})
@@ -145,7 +146,7 @@
     return;
   }
   call.Choice = *choice;
-  call.Work = {choice->ToRead, call.Tokens};
+  call.Work = {choice->TokensToPrefill, call.Tokens};
   host.Table.noteSent(choice->Id, call.Work, Now);
   host.Table.notePrompt(choice->Id, call.Prompt, Now);
   const auto engine =
@@ -183,8 +184,8 @@
   call.FirstAt = Now + fromSeconds(Plan.Make.FirstMs / 1000);
   Host &host = *Hosts[call.Host];
   host.Table.noteFirstByte(engine.Id, call.Work);
-  const FirstTokenSeen seen{call.Choice.ToRead + call.Choice.Ahead,
-                            call.FirstAt - call.SentAt};
+  const FirstTokenSample seen{call.Choice.TokensToPrefill + call.Choice.Ahead,
+                              call.FirstAt - call.SentAt};
   host.Table.noteFirstToken(engine.Id, seen, Now);
 }
 
@@ -218,7 +219,7 @@
   auto it = engine.Reading.begin();
   while (it != engine.Reading.end() && room > 0 &&
          engine.Writing.size() < static_cast<std::size_t>(Plan.Make.Slots)) {
-    if (Now - it->SentAt > Patience) {
+    if (Now - it->SentAt > WaitLimit) {
       finish(engine, *it, false);
       it = engine.Reading.erase(it);
       continue;
@@ -310,12 +311,12 @@
 void EngineFleet::scale() {
   std::map<ZoneId, ZoneReplicas> seen;
   for (int zone = 0; zone < Plan.Zones; ++zone)
-    seen[zoneName(zone)].IsReclaimed = false;
+    seen[zoneName(zone)].HasReclaimNotice = false;
   for (const Engine &it : Engines) {
     ZoneReplicas &zone = seen[zoneName(it.Zone)];
     if (it.IsLeaving)
-      zone.IsReclaimed =
-          zone.IsReclaimed || (it.IsReclaimable && isDry(it.Zone));
+      zone.HasReclaimNotice =
+          zone.HasReclaimNotice || (it.IsReclaimable && isDry(it.Zone));
     else
       ++(it.IsReclaimable ? zone.Reclaimable : zone.OnDemand);
   }
@@ -335,7 +336,7 @@
     }
     Replicas.noteResult(it, CloudResult::Accepted, Now);
     if (isMore)
-      Orders.push_back({Now + BootTime, it});
+      Orders.push_back({Now + StartupTime, it});
     else
       setCount(it);
   }
--- a/Utilities/sorrelbay-bench/EngineFleet.h
+++ b/Utilities/sorrelbay-bench/EngineFleet.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "LibLoad/EngineDemand.h"
-#include "LibLoad/FirstTokenLimits.h"
-#include "LibServing/ReplicaPlan.h"
+#include "LibLoad/QueueWaitLimits.h"
+#include "LibServing/ReplicaAutoscaler.h"
 #include "LibServing/ReplicaTable.h"
 #include <deque>
 #include <list>
@@ -73,9 +73,9 @@
   /// The replica plan orders engines; otherwise their number stays.
   bool IsScaled = false;
   ReplicaTableSettings Table;
-  ReplicaPlanSettings Replicas;
+  ReplicaAutoscalerSettings Replicas;
   /// Zero lets all calls in.
-  double WaitingShare = 0.45;
+  double QueueWaitShare = 0.45;
 };
 
 /// What became of the calls of one kind, or of one span of time.
@@ -123,7 +123,7 @@
     Instant SentAt{};
     std::vector<PromptPart> Prompt;
     std::int64_t Tokens = 0;
-    CallWork Work;
+    CallCost Work;
     ReplicaChoice Choice;
     double LeftToRead = -1;
     int LeftToWrite = 0;
@@ -174,8 +174,8 @@
   std::vector<std::unique_ptr<Host>> Hosts;
   std::list<Engine> Engines;
   std::deque<Coming> Orders;
-  ReplicaPlan Replicas;
-  FirstTokenLimits Limits;
+  ReplicaAutoscaler Replicas;
+  QueueWaitLimits Limits;
   EngineFleetResult Result;
   int Made = 0;
   double TokenMs = 0;
--- a/Utilities/sorrelbay-bench/Mover.cpp
+++ b/Utilities/sorrelbay-bench/HostPlanner.cpp
@@ -1,4 +1,4 @@
-#include "LibDecision/Mover.h"
+#include "LibDecision/HostPlanner.h"
 #include "Experiment.h"
 #include <algorithm>
 #include <cmath>
@@ -41,7 +41,7 @@
 struct ZoneWeather {
   std::vector<double> Price;
   std::vector<bool> IsRefusing;
-  std::vector<bool> IsReclaimed;
+  std::vector<bool> HasReclaimNotice;
 };
 
 struct Weather {
@@ -68,7 +68,7 @@
       refusedUntil = n + stepsIn(minutes(std::uniform_int_distribution<int>(
                              RefusedMinutesLow, RefusedMinutesHigh)(random)));
     zone.Price.push_back(price);
-    zone.IsReclaimed.push_back(isWave);
+    zone.HasReclaimNotice.push_back(isWave);
     zone.IsRefusing.push_back(n < refusedUntil);
   }
   return zone;
@@ -137,7 +137,7 @@
     Hosts.erase(std::remove_if(Hosts.begin(), Hosts.end(),
                                [&](const Host &it) {
                                  return it.From.IsReclaimable &&
-                                        zoneOf(it.From).IsReclaimed[n];
+                                        zoneOf(it.From).HasReclaimNotice[n];
                                }),
                 Hosts.end());
     double cost = 0;
@@ -199,9 +199,9 @@
   explicit Fleet(const Policy &policy, const Weather &weather,
                  std::uint64_t seed)
       : Uses(policy), Given(weather), Cloud(weather, seed) {
-    MoverSettings settings;
+    HostPlannerSettings settings;
     settings.StartTime = StartTime;
-    Decides = Mover(settings);
+    Decides = HostPlanner(settings);
   }
 
   Outcome run() {
@@ -232,7 +232,7 @@
 
   void look(std::size_t n) {
     const Instant now = Instant(Step * static_cast<std::int64_t>(n));
-    MoverView view;
+    HostPlannerInput view;
     view.Generation = 1;
     view.Offers = Uses.Filter(Cloud.offers(n));
     view.Capacity = expectedDemand(n);
@@ -242,7 +242,7 @@
       if (std::none_of(view.Hosts.begin(), view.Hosts.end(),
                        [&](const CloudHost &host) { return host.Id == it.Id; }))
         view.Hosts.push_back({it.Id, it.Token, CloudHostState::Gone});
-    const MoverDecision decision = Decides.decide(Plan, view, now);
+    const HostPlannerDecision decision = Decides.decide(Plan, view, now);
     Plan = decision.Plan;
     for (const std::string &it : decision.Deletes)
       Cloud.remove(it);
@@ -255,8 +255,8 @@
   const Policy &Uses;
   const Weather &Given;
   CloudStandIn Cloud;
-  Mover Decides;
-  MoverPlan Plan;
+  HostPlanner Decides;
+  HostPlan Plan;
   std::vector<CloudHost> LastListed;
 };
 
--- a/Utilities/sorrelbay-bench/Overload.cpp
+++ b/Utilities/sorrelbay-bench/Overload.cpp
@@ -46,18 +46,18 @@
   return {
       {"sorrelbay", [](EngineFleetPlan &) {}},
       {"nothing turned away",
-       [](EngineFleetPlan &plan) { plan.WaitingShare = 0; }},
+       [](EngineFleetPlan &plan) { plan.QueueWaitShare = 0; }},
       {"no engine time in plan",
-       [](EngineFleetPlan &plan) { plan.Replicas.ReadingShare = 1e9; }},
+       [](EngineFleetPlan &plan) { plan.Replicas.TargetPrefillShare = 1e9; }},
       {"no near-equals",
        [](EngineFleetPlan &plan) {
-         plan.Table.NearEqual = 0;
-         plan.Table.NearEqualShare = 0;
+         plan.Table.CostTolerance = 0;
+         plan.Table.CostToleranceShare = 0;
        }},
       {"reading weighs once",
-       [](EngineFleetPlan &plan) { plan.Table.ReadingWeight = 1; }},
+       [](EngineFleetPlan &plan) { plan.Table.PrefillWeight = 1; }},
       {"open calls weigh nothing",
-       [](EngineFleetPlan &plan) { plan.Table.CallWeight = 0; }},
+       [](EngineFleetPlan &plan) { plan.Table.OpenCallWeight = 0; }},
   };
 }
 
--- a/Utilities/sorrelbay-bench/Placement.cpp
+++ b/Utilities/sorrelbay-bench/Placement.cpp
@@ -19,7 +19,7 @@
   const char *Name;
   int Replicas;
   int EntryHosts;
-  Duration ZoneDistance;
+  Duration CrossZoneLatency;
   double CallsPerSecond;
 };
 
@@ -30,7 +30,7 @@
 
 constexpr int Zones = 4;
 constexpr double PromptTokensPerSecond = 8000;
-constexpr int Places = 48;
+constexpr int CallSlots = 48;
 constexpr Duration TokenGap = milliseconds(30);
 /// What an engine keeps of prompts: little, where half of all turns come after
 /// their prefix has gone whatever the policy, and enough.
@@ -77,10 +77,10 @@
     const std::int64_t toCompute = talk.Tokens - served.CachedTokens;
     leavePlaces(now);
     Instant start = std::max(now, PromptsDone);
-    if (Finishing.size() >= Places)
-      start = std::max(start,
-                       *std::next(Finishing.begin(),
-                                  static_cast<int>(Finishing.size()) - Places));
+    if (Finishing.size() >= CallSlots)
+      start = std::max(
+          start, *std::next(Finishing.begin(),
+                            static_cast<int>(Finishing.size()) - CallSlots));
     served.FirstToken = start + fromSeconds(static_cast<double>(toCompute) /
                                             PromptTokensPerSecond);
     PromptsDone = served.FirstToken;
@@ -237,8 +237,8 @@
 
 Chooser byCost(const Deployment &deployment, PlacementSettings settings) {
   settings.PromptTokensPerSecond = PromptTokensPerSecond;
-  settings.PlacesPerUpstream = Places;
-  settings.ZoneDistance = deployment.ZoneDistance;
+  settings.ConcurrentCallsPerUpstream = CallSlots;
+  settings.CrossZoneLatency = deployment.CrossZoneLatency;
   const auto placement = std::make_shared<Placement>(settings);
   Chooser chooser;
   chooser.Choose = [placement](const std::vector<UpstreamState> &upstreams,
@@ -358,8 +358,9 @@
   void serve(const std::shared_ptr<Talk> &talk, EntryHost &host,
              std::size_t n) {
     UpstreamState &upstream = host.Upstreams[n];
-    const Duration way =
-        upstream.InZone == host.Zone ? Duration{} : Duration(On.ZoneDistance);
+    const Duration way = upstream.InZone == host.Zone
+                             ? Duration{}
+                             : Duration(On.CrossZoneLatency);
     const Instant sent = Queue.now();
     ++upstream.OwnOpenCalls;
     const int answerTokens = between(100, 400);
@@ -451,7 +452,7 @@
   };
   const auto noHome = [](const Deployment &deployment) {
     PlacementSettings settings;
-    settings.HomeShare = 0;
+    settings.AssumedCachedShare = 0;
     return byCost(deployment, settings);
   };
   return {{"round robin", roundRobin},
--- a/Utilities/sorrelbay-bench/RecoveryFleet.h
+++ b/Utilities/sorrelbay-bench/RecoveryFleet.h
@@ -15,7 +15,7 @@
 struct WireFaults {
   double Lost = 0;
   double Late = 0;
-  double Crossed = 0;
+  double Misrouted = 0;
   double Duplicated = 0;
   double Truncated = 0;
   /// The caller's connection breaks with events on their way.
@@ -370,7 +370,7 @@
       InFlight.push_back({receiver, token, Step + pick(1, 90)});
       return;
     }
-    if (happens(Settings.Faults.Crossed))
+    if (happens(Settings.Faults.Misrouted))
       arrive(pick(0, Callers.size() - 1), token);
     if (happens(Settings.Faults.Duplicated))
       arrive(receiver, token);
@@ -461,7 +461,7 @@
       Transfers.push_back(
           {caller, it.From, it.To, tokens, Step + 1 + stepOf(took)});
     }
-    for (const ResumeAt &it : actions.Resumes) {
+    for (const AnswerResumption &it : actions.Resumes) {
       const std::size_t caller = callerOf(it.Request);
       Result.Recomputed += it.Recomputed;
       ++Result.Resumed;
--- a/Utilities/sorrelbay-load/LoadRun.cpp
+++ b/Utilities/sorrelbay-load/LoadRun.cpp
@@ -13,14 +13,14 @@
 
 namespace {
 
-constexpr Duration Patience = seconds(60);
+constexpr Duration WaitLimit = seconds(60);
 
 HttpCall chatCall(const LoadOptions &options, std::size_t number) {
   HttpCall call;
   call.Method = "POST";
   call.Path = "/v1/chat/completions";
   call.Headers.push_back({"X-Team", options.Team});
-  call.ReadTimeout = Patience;
+  call.ReadTimeout = WaitLimit;
   const std::string question = "question " + std::to_string(number);
   call.Body =
       nlohmann::json{{"model", options.Model},
--- a/Utilities/sorrelbay/ExplainCommand.cpp
+++ b/Utilities/sorrelbay/ExplainCommand.cpp
@@ -1,5 +1,5 @@
 #include "Commands.h"
-#include "LibOperator/CallStory.h"
+#include "LibOperator/CallTimeline.h"
 #include "Terminal.h"
 #include "WholeFile.h"
 #include <fstream>
@@ -15,17 +15,17 @@
 };
 
 ExitCode explain(const ExplainOptions &options) {
-  std::vector<StoryLine> lines;
+  std::vector<TimelineEntry> lines;
   std::size_t unreadable = 0;
   for (const std::string &it : options.Files) {
     std::ifstream log(it);
     if (!log)
       throw FileUnusable(it + ": can't be read");
-    const std::vector<StoryLine> more =
-        readLog(log, options.CallId, unreadable);
+    const std::vector<TimelineEntry> more =
+        readTimeline(log, options.CallId, unreadable);
     lines.insert(lines.end(), more.begin(), more.end());
   }
-  const CallStory story = storyOf(options.CallId, lines);
+  const CallTimeline story = buildTimeline(options.CallId, lines);
   if (unreadable != 0)
     printRemark(std::to_string(unreadable) + " lines can't be read");
   if (story.Lines.empty()) {
@@ -37,7 +37,7 @@
   if (story.Causes.empty())
     std::cout << options.CallId
               << ": the logs name it, but no line tells its end\n";
-  for (const StoryLine &it : story.Lines)
+  for (const TimelineEntry &it : story.Lines)
     std::cout << it.Text << '\n';
   return ExitCode::Success;
 }
--- a/Utilities/sorrelbay/StatusCommand.cpp
+++ b/Utilities/sorrelbay/StatusCommand.cpp
@@ -20,7 +20,7 @@
   bool IsJson = false;
 };
 
-bool hasTakenBack(const StatusReport &report) {
+bool hasRolledBack(const StatusReport &report) {
   return std::any_of(report.Moves.begin(), report.Moves.end(),
                      [&report](const MoveStatus &it) {
                        return it.State == MoveState::TakenBack &&
@@ -52,7 +52,7 @@
         std::cout << text << std::flush;
       shown = text;
       if (isSettled(report))
-        return hasTakenBack(report) ? ExitCode::TakenBack : ExitCode::Success;
+        return hasRolledBack(report) ? ExitCode::TakenBack : ExitCode::Success;
     } catch (const ObjectApiUnavailable &error) {
       std::cerr << "sorrelbay: " << error.what() << "; looking again\n";
     }
--- a/Utilities/sorrelbay/main.cpp
+++ b/Utilities/sorrelbay/main.cpp
@@ -47,7 +47,7 @@
   addCommands(app, exitCode);
   try {
     return parse(app, argc, argv, exitCode);
-  } catch (const TomlRefused &error) {
+  } catch (const TomlError &error) {
     std::cerr << error.what() << '\n';
     return ExitCode::BadInput;
   } catch (const BundleRefused &error) {
