--- a/Tests/Fakes/FakeEngine.cpp
+++ b/Tests/Fakes/FakeEngine.cpp
@@ -180,11 +180,11 @@
   const Json json = Json::parse(request.Body, nullptr, false);
   const std::lock_guard<std::mutex> lock(Mutex);
   const std::uint64_t fencing = json.value("fencing", std::uint64_t{0});
-  if (fencing < Fencing) {
+  if (fencing < FencingToken) {
     ++Counts["orders_refused"];
     return jsonResponse(409, {{"error", "old fencing number"}});
   }
-  Fencing = fencing;
+  FencingToken = fencing;
   OrderedLevels = json.value("levels", Json::array()).dump();
   ++Counts["orders"];
   return jsonResponse(200, {{"levels", OrderedLevels}});
@@ -213,7 +213,7 @@
   Json out(Counts);
   out["open"] = OpenStreams;
   out["levels"] = OrderedLevels;
-  out["fencing"] = Fencing;
+  out["fencing"] = FencingToken;
   return jsonResponse(200, out);
 }
 
--- a/Tests/Fakes/FakeEngine.h
+++ b/Tests/Fakes/FakeEngine.h
@@ -68,7 +68,7 @@
   std::set<std::string> Cancelled;
   std::uint64_t OpenStreams = 0;
   std::uint64_t RequestNumber = 0;
-  std::uint64_t Fencing = 0;
+  std::uint64_t FencingToken = 0;
   std::string OrderedLevels;
 };
 
--- a/Tests/Fakes/fake-platform-main.cpp
+++ b/Tests/Fakes/fake-platform-main.cpp
@@ -113,9 +113,9 @@
   const std::int64_t known = queryNumber(request, "watch", -1);
   if (known >= 0) {
     ++Counts["watches"];
-    const auto patience = milliseconds(
+    const auto waitLimit = milliseconds(
         std::min(MaxWatchMs, queryNumber(request, "timeout_ms", 0)));
-    const bool hasChanged = Changed.wait_for(lock, patience, [&] {
+    const bool hasChanged = Changed.wait_for(lock, waitLimit, [&] {
       const auto it = Objects.find(name);
       return Set.IsDown ||
              (it != Objects.end() &&
@@ -198,9 +198,9 @@
   if (Set.NoticesAreDown)
     return status(503, "outage");
   const auto after = static_cast<std::size_t>(queryNumber(request, "after", 0));
-  const auto patience =
+  const auto waitLimit =
       milliseconds(std::min(MaxWatchMs, queryNumber(request, "timeout_ms", 0)));
-  Changed.wait_for(lock, patience, [&] { return Notices.size() > after; });
+  Changed.wait_for(lock, waitLimit, [&] { return Notices.size() > after; });
   Json fresh = Json::array();
   for (std::size_t n = after; n < Notices.size(); ++n)
     fresh.push_back(Notices[n]);
--- a/Tests/Fakes/fault-proxy-main.cpp
+++ b/Tests/Fakes/fault-proxy-main.cpp
@@ -72,14 +72,14 @@
 
 /// Carries bytes between the two ends until one closes or the mode says so.
 void carry(State &state, int client, int target) {
-  const int bornAt = state.FreezeCount;
+  const int processStartedAt = state.FreezeCount;
   pollfd ends[2] = {{client, POLLIN, 0}, {target, POLLIN, 0}};
   char buf[BufferBytes];
   while (true) {
     const Mode mode = state.Current;
     if (mode == Mode::Cut)
       return;
-    if (state.FreezeCount != bornAt) {
+    if (state.FreezeCount != processStartedAt) {
       std::this_thread::sleep_for(milliseconds(PollMs));
       continue;
     }
--- a/Tests/Integration/TestAtMostOnce.cpp
+++ b/Tests/Integration/TestAtMostOnce.cpp
@@ -96,10 +96,10 @@
   /// Has the daemon run a call of the same bucket, so that it knows the bucket
   /// and begins the next call with the write of the intent.
   void showBucketTo(std::size_t n, const std::string &key) const {
-    const CallId wanted{TeamId("crew"), CallKey(key)};
+    const CallId wanted{TeamId("crew"), IdempotencyKey(key)};
     CallId other = wanted;
     for (int it = 0; other == wanted || bucketOf(other) != bucketOf(wanted);)
-      other.Key = CallKey("other-" + std::to_string(it++));
+      other.Key = IdempotencyKey("other-" + std::to_string(it++));
     book(n, other.Key.text(), 1);
     waitUntil("the other call's result is recorded", [&] {
       return ask(n, other.Key.text(), 1).Outcome == CallOutcome::Done;
@@ -108,7 +108,7 @@
   /// Waits until the ledger holds the key, whoever has been told of it.
   void waitForEntry(const std::string &key) const {
     const ObjectApi objects = connectObjectApi(Whole.platform(), seconds(5));
-    const CallId call{TeamId("crew"), CallKey(key)};
+    const CallId call{TeamId("crew"), IdempotencyKey(key)};
     waitUntil("an entry of " + key, [&] {
       const auto object = objects.Read(bucketObjectName(bucketOf(call)));
       return object && decodeBucket(object->Body).entries().count(call) != 0;
