--- a/Libraries/LibServing/Allotment.h
+++ b/Libraries/LibServing/Allotment.h
@@ -5,8 +5,8 @@
 
 namespace sorrelbay {
 
-/// What hosts together let in for a team: units a second, and units at once
-/// besides. A rate of 0 means no limit.
+/// What all hosts together admit for a team: units per second, and a burst in
+/// units. A rate of 0 means no limit.
 struct Allotment {
   std::int64_t Rate = 0;
   std::int64_t Burst = 0;
@@ -16,23 +16,25 @@
   }
 };
 
-/// How exactly an allotment is kept, from the settings.
+/// How precisely an allotment is enforced, from the settings.
 struct AllotmentBounds {
-  /// Units that may be used beyond an allotment.
+  /// Units that a team may use in excess of its allotment.
   std::int64_t Slack = 0;
-  /// In any span of that length a team may use its rate times the span, and its
-  /// burst; zero where it is not known.
+  /// In any span of this length a team may use its rate times the span, plus
+  /// its burst. Zero if unknown.
   Duration Window{};
 };
 
-/// The part of a team's allotment that is given to callers, by what hosts let
-/// in before they hear of each other. In a small fleet that is within the
-/// slack, of which a part is given out; in one whose zones report sums it
-/// is more, and a part of the allotment is kept back for it.
+/// The part of a team's allotment that is granted to callers. The rest covers
+/// what hosts admit before they receive each other's reports. In a small fleet
+/// that fits into the slack, and a fraction of the slack is granted as well;
+/// where reports are aggregated by zone it does not, and a part of the
+/// allotment is held back.
 ///
-/// A part of the burst comes in evenly over the window instead of at once. Any
-/// window holds the same then, but a team that is always near its rate, for
-/// which a burst is gone once and never comes back, gets it in every window.
+/// A part of the burst is refilled evenly over the window instead of being
+/// available at once. The total per window stays the same, but a team that
+/// constantly runs near its rate would use its burst only once; this way it
+/// gets that part in every window.
 Allotment allotmentFor(const ServingTeam &team, bool isAggregatedByZone,
                        const AllotmentBounds &bounds);
 
--- a/Libraries/LibServing/CloudHooks.h
+++ b/Libraries/LibServing/CloudHooks.h
@@ -5,14 +5,14 @@
 
 namespace sorrelbay {
 
-/// Who exercises a duty, and the number by which an older holder is
-/// distinguished from a newer one.
+/// The holder of a duty, and the fencing token by which the cloud rejects
+/// requests of an earlier holder.
 struct LeaseHolder {
   HostId Holder;
   std::uint64_t FencingToken = 0;
 };
 
-/// So many replicas of one kind in one zone.
+/// An order for a number of replicas of one kind in one zone.
 struct ReplicaOrder {
   ServiceId Service;
   ZoneId Zone;
@@ -20,21 +20,22 @@
   int Count = 0;
 };
 
-/// What came of a call to the cloud.
+/// The result of a request to the cloud.
 enum class CloudResult {
   Accepted,
-  /// There are none to be had now.
+  /// No replicas are available now.
   NoneAvailable,
-  /// Too many calls, or it can't serve now; it did nothing.
+  /// Rate-limited or unable to serve the request now; nothing was done.
   Refused,
-  /// No answer: it may have been done.
+  /// No response: the request may have been carried out.
   Unknown,
 };
 
 using CloudCallback = std::function<void(CloudResult)>;
 
-/// The cloud's duties as hooks on the event loop. Each is to be used by the one
-/// host that holds the duties. Callbacks run on the loop's thread, once.
+/// The requests to the cloud, as hooks on the event loop. Only the host that
+/// holds the duties may use them. Each callback runs once, on the loop's
+/// thread.
 struct CloudHooks {
   std::function<void(const LeaseHolder &, WindowNumber, const TeamCounts &,
                      CloudCallback)>
--- a/Libraries/LibServing/FleetClock.h
+++ b/Libraries/LibServing/FleetClock.h
@@ -6,21 +6,21 @@
 
 namespace sorrelbay {
 
-/// The time since 1970 as most hosts believe it. The wall clock of one host may
-/// jump by seconds and back; it is read once, when the process starts, and
-/// carried on by the boot clock. A host that started while its clock was off
-/// is outvoted by its peers.
+/// The time since 1970 that most hosts agree on. A host's wall clock may jump
+/// by seconds and back, so it is read once, when the process starts, and
+/// advanced by the boot clock. Taking the median over all hosts corrects a host
+/// that started while its clock was off.
 class FleetClock {
 public:
   FleetClock(Instant wallAtStart, Instant bootAtStart)
       : OwnOffset(wallAtStart - bootAtStart) {}
 
-  /// What this host tells its peers.
+  /// This host's own estimate, which goes into its reports.
   Instant own(Instant boot) const { return boot + OwnOffset; }
-  /// A peer has reported its time.
+  /// Records the time that a peer reported.
   void notePeer(const SourceId &peer, Instant peersTime, Instant boot);
   void forgetPeer(const SourceId &peer);
-  /// The median of all.
+  /// The median over this host and its peers.
   Instant at(Instant boot) const;
 
 private:
--- a/Libraries/LibServing/FleetReport.h
+++ b/Libraries/LibServing/FleetReport.h
@@ -11,15 +11,15 @@
 
 namespace sorrelbay {
 
-/// Whose work a report adds up.
+/// Which hosts' work a report covers.
 enum class ReportScope {
-  /// The host that tells it.
+  /// The reporting host only.
   Host,
-  /// All hosts of its zone.
+  /// All hosts of the reporter's zone.
   Zone,
   /// All hosts of the other zones.
   OtherZones,
-  /// All hosts of the zone that it goes to, the receiver included.
+  /// All hosts of the receiver's zone, including the receiver.
   OwnZone,
 };
 
@@ -27,20 +27,21 @@
 struct FleetMember {
   HostId Host;
   ZoneId Zone;
-  /// Where peers connect.
+  /// The address on which it accepts connections from peers.
   std::string PeerAddress;
-  /// Where callers connect.
+  /// The address on which it accepts calls.
   std::string CallerAddress;
   bool IsReady = false;
   bool IsLeaving = false;
-  /// Its last call to the store has failed.
+  /// The host has not been able to reach the store for a while.
   bool IsStoreUnreachable = false;
   bool HoldsDuties = false;
-  /// Of the lease that it holds: the revision in the store, and the fencing
-  /// number; 0 without one.
+  /// The revision in the store and the fencing token of the lease that it
+  /// holds; 0 without one.
   std::uint64_t LeaseRevision = 0;
   std::uint64_t FencingToken = 0;
-  /// Cores that it may use; the largest aggregate for their zones.
+  /// The number of cores that it may use. The largest hosts aggregate for their
+  /// zones.
   double Capacity = 0;
 
   friend bool operator==(const FleetMember &a, const FleetMember &b) {
@@ -53,41 +54,45 @@
   }
 };
 
-/// What one entry host tells its peers several times a second, of itself or,
-/// where it aggregates for others, of all of them. Each report replaces the one
-/// before it of the same scope; counts begin anew with each incarnation.
+/// A report that an entry host sends to its peers several times a second, about
+/// itself or, as an aggregator, about all hosts that it covers. Each report
+/// replaces the previous one of the same scope; counters start at zero with
+/// each incarnation.
 struct FleetReport {
   ReportScope Scope = ReportScope::Host;
   HostId Reporter;
   ZoneId Zone;
   IncarnationId Incarnation;
   std::uint64_t Sequence = 0;
-  /// How long the reporter's process has been running, or the longest of those
-  /// whose work it adds up.
+  /// How long the reporter's process has been running; for a sum the maximum
+  /// over the hosts that it covers.
   Duration Uptime{};
-  /// The reporter's boot clock, in microseconds. Peers send it back with what
-  /// they pass on, so that the reporter knows how old that is at the most.
+  /// The reporter's boot clock, in microseconds. Peers return it with the
+  /// updates that they forward, which gives the reporter an upper bound on the
+  /// age of those updates.
   std::int64_t SentAt = 0;
-  /// The reporter's idea of the time since 1970, in milliseconds.
+  /// The reporter's estimate of the time since 1970, in milliseconds.
   std::int64_t FleetTimeMs = 0;
-  /// The reporter, or all that it aggregates for.
+  /// The reporter, or all hosts that it aggregates for.
   std::vector<FleetMember> Members;
   std::map<UpstreamId, OutstandingWork> Open;
-  /// Engine time that callers ask for there.
+  /// Engine time that callers request there.
   DemandByService Demand;
   std::map<TeamId, UsedUnits> Used;
-  /// Of a sum, how fast it grew of late, in units a second: with it those that
-  /// heard another reporter before go on where that one ended.
+  /// For a sum, its recent growth in units per second. Receivers that had the
+  /// sum from another reporter use it to estimate the growth in between.
   std::map<TeamId, double> Pace;
-  /// What the reporter believes is left of the teams' allotments; of a sum the
-  /// median of what its hosts believe, so that one that is wrong moves nobody.
+  /// The reporter's estimate of what is left of the teams' allotments; for a
+  /// sum the median over its hosts, so that a single wrong estimate has no
+  /// effect.
   std::map<TeamId, double> Levels;
   std::map<WindowNumber, TeamCounts> Usage;
-  /// Of a sum over the receiver's own zone, the newest report of each host that
-  /// it holds: by it the receiver takes its own part out.
+  /// For a sum over the receiver's own zone, the sequence number of the newest
+  /// report included from each host. The receiver uses it to subtract its own
+  /// contribution.
   std::map<HostId, std::uint64_t> Included;
-  /// What the hosts know of moves, as RolloutCodec writes it; empty without
-  /// one.
+  /// What the hosts know of rollouts, as encoded by RolloutCodec; empty if
+  /// there are none.
   std::string Moves;
 };
 
--- a/Libraries/LibServing/FleetReportMerger.cpp
+++ b/Libraries/LibServing/FleetReportMerger.cpp
@@ -2,14 +2,14 @@
 
 namespace sorrelbay {
 
-/// Windows of usage that reports carry.
+/// The number of usage windows that a report carries.
 static constexpr std::size_t ReportedWindows = 3;
-/// Processes that were started together may be that much apart.
-static constexpr Duration StartSpread = seconds(1);
+/// Processes that are started together may start this far apart.
+static constexpr Duration MaxStartSkew = seconds(1);
 
-/// The newest few windows.
+/// The newest windows, at most ReportedWindows of them.
 static std::map<WindowNumber, TeamCounts>
-newest(std::map<WindowNumber, TeamCounts> windows) {
+newestWindows(std::map<WindowNumber, TeamCounts> windows) {
   while (windows.size() > ReportedWindows)
     windows.erase(windows.begin());
   return windows;
@@ -34,23 +34,24 @@
       Tables.Usage.noteOthers(window, counts);
   }
   const FleetReport *known = View.reportOf(sourceOf(report));
-  if (known && Counted.count(sourceOf(report)) != 0)
-    count(*known, now);
+  if (known && CountedReports.count(sourceOf(report)) != 0)
+    applyReport(*known, now);
   else
     recount(self, now);
 }
 
-void FleetReportMerger::count(const FleetReport &report, Instant now) {
+void FleetReportMerger::applyReport(const FleetReport &report, Instant now) {
   const SourceId source = sourceOf(report);
   Tables.Replicas.notePeer(source, report.Open);
   Tables.Demand.notePeer(source, report.Demand);
   const bool isSum = report.Scope != ReportScope::Host;
-  // What a sum shows when this host begins or ends to aggregate was charged by
-  // way of other sums before.
-  const bool isCharged = isSum && HasCountedSum && Counted.count(source) == 0;
+  // When this host becomes or stops being an aggregator, the teams have already
+  // been charged for the content of a new sum by way of earlier sums.
+  const bool isAlreadyCharged =
+      isSum && HasCountedSum && CountedReports.count(source) == 0;
   HasCountedSum = HasCountedSum || isSum;
   const bool isOlder =
-      isCharged || report.Uptime > now - ProcessStartedAt + StartSpread;
+      isAlreadyCharged || report.Uptime > now - ProcessStartedAt + MaxStartSkew;
   for (const auto &[team, used] : report.Used) {
     PeerUsage use;
     use.Incarnation = report.Incarnation;
@@ -66,61 +67,61 @@
     Tables.RateLimiters[team].notePeer(source, use, now);
   }
   Tables.Time.notePeer(source, fromEpochMilliseconds(report.FleetTimeMs), now);
-  FleetReport &known = Counted[source];
+  FleetReport &known = CountedReports[source];
   known.Scope = report.Scope;
   known.Reporter = report.Reporter;
   known.Zone = report.Zone;
 }
 
-void FleetReportMerger::drop(const SourceId &source) {
+void FleetReportMerger::removeSource(const SourceId &source) {
   Tables.Replicas.forgetPeer(source);
   Tables.Demand.forgetPeer(source);
-  for (auto &[team, meter] : Tables.RateLimiters)
-    meter.dropPeer(source);
+  for (auto &[team, limiter] : Tables.RateLimiters)
+    limiter.erasePeer(source);
   Tables.Time.forgetPeer(source);
 }
 
 void FleetReportMerger::recount(const FleetMember &self, Instant now) {
-  std::set<SourceId> counting;
+  std::set<SourceId> countedSources;
   for (const FleetReport *it : View.counted(self, now)) {
     const SourceId source = sourceOf(*it);
-    counting.insert(source);
-    if (Counted.count(source) != 0)
+    countedSources.insert(source);
+    if (CountedReports.count(source) != 0)
       continue;
-    count(*it, now);
+    applyReport(*it, now);
     OnSource(*it, true);
   }
-  for (auto it = Counted.begin(); it != Counted.end();) {
-    if (counting.count(it->first) != 0) {
+  for (auto it = CountedReports.begin(); it != CountedReports.end();) {
+    if (countedSources.count(it->first) != 0) {
       ++it;
       continue;
     }
     OnSource(it->second, false);
-    drop(it->first);
-    it = Counted.erase(it);
+    removeSource(it->first);
+    it = CountedReports.erase(it);
   }
 }
 
 void FleetReportMerger::agree(Instant now) {
-  for (auto &[team, meter] : Tables.RateLimiters)
-    meter.agree(now);
+  for (auto &[team, limiter] : Tables.RateLimiters)
+    limiter.agree(now);
 }
 
 void FleetReportMerger::fillOwnReport(FleetReport &report, Instant now) const {
   report.Open = Tables.Replicas.ownWork();
   report.Demand = Tables.Demand.own(now);
-  for (const auto &[team, meter] : Tables.RateLimiters) {
-    report.Used[team] = meter.used();
-    if (const auto level = meter.settledLevel())
+  for (const auto &[team, limiter] : Tables.RateLimiters) {
+    report.Used[team] = limiter.used();
+    if (const auto level = limiter.settledLevel())
       report.Levels[team] = *level;
   }
-  report.Usage = newest(Tables.Usage.own());
+  report.Usage = newestWindows(Tables.Usage.own());
 }
 
 void FleetReportMerger::fillUsage(FleetReport &sum) const {
   sum.Usage =
-      newest(sum.Scope == ReportScope::Zone ? Tables.Usage.ownZone()
-                                            : Tables.Usage.otherZones());
+      newestWindows(sum.Scope == ReportScope::Zone ? Tables.Usage.ownZone()
+                                                   : Tables.Usage.otherZones());
 }
 
 } // namespace sorrelbay
--- a/Libraries/LibServing/FleetReportMerger.h
+++ b/Libraries/LibServing/FleetReportMerger.h
@@ -11,7 +11,7 @@
 
 namespace sorrelbay {
 
-/// One host's tables that other hosts' reports go into.
+/// The tables of one host that other hosts' reports are merged into.
 struct FleetTables {
   ReplicaTable &Replicas;
   EngineDemand &Demand;
@@ -20,43 +20,44 @@
   FleetClock &Time;
 };
 
-/// Puts what other hosts tell into this host's tables, each host's work once:
-/// by its own report, or within the sum of its zone, or within that of all
-/// other zones. Which of them it is changes when this host begins or ends to
-/// aggregate for its zone, when the fleet grows large, and when hosts go. Not
-/// thread-safe.
+/// Merges the reports of other hosts into this host's tables so that each
+/// host's work is counted once: by its own report, by its zone's sum, or by the
+/// sum over all other zones. Which of these is used changes when this host
+/// becomes or stops being an aggregator, when the fleet grows beyond a full
+/// mesh, and when hosts disappear. Not thread-safe.
 class FleetReportMerger {
 public:
-  /// Called when a source begins or ends to count.
+  /// Called when a source starts or stops being counted.
   using SourceHook = std::function<void(const FleetReport &, bool counts)>;
 
-  /// `processStartedAt` is when this host's process began.
+  /// `processStartedAt` is when this host's process started.
   FleetReportMerger(
       FleetView &view, FleetTables tables, Instant processStartedAt,
       SourceHook onSource = [](const FleetReport &, bool) {});
 
-  /// A report that the view has taken. `self` is this host as others know it.
+  /// Merges a report that the view has accepted. `self` is this host as its
+  /// peers know it.
   void take(const FleetReport &report, const FleetMember &self, Instant now);
-  /// Looks anew whose reports count.
+  /// Determines again which sources are counted.
   void recount(const FleetMember &self, Instant now);
-  /// Lets the teams' meters agree with those of other hosts; to be called a few
-  /// times a second.
+  /// Moves the levels of the teams' rate limiters towards those of other hosts;
+  /// to be called a few times a second.
   void agree(Instant now);
-  /// Puts this host's own work and use into its report.
+  /// Fills this host's own work and usage into its report.
   void fillOwnReport(FleetReport &report, Instant now) const;
-  /// Puts the usage of the hosts that a sum covers into it.
+  /// Fills the usage of the hosts that a sum covers into it.
   void fillUsage(FleetReport &sum) const;
 
 private:
-  void count(const FleetReport &report, Instant now);
-  void drop(const SourceId &source);
+  void applyReport(const FleetReport &report, Instant now);
+  void removeSource(const SourceId &source);
 
   FleetView &View;
   FleetTables Tables;
   Instant ProcessStartedAt;
   SourceHook OnSource;
-  /// Whose reports are in the tables.
-  std::map<SourceId, FleetReport> Counted;
+  /// The sources whose reports are in the tables.
+  std::map<SourceId, FleetReport> CountedReports;
   bool HasCountedSum = false;
 };
 
--- a/Libraries/LibServing/FleetView.cpp
+++ b/Libraries/LibServing/FleetView.cpp
@@ -3,9 +3,10 @@
 
 namespace sorrelbay {
 
-/// Own reports that are kept: a sum comes back within a second, and a host
-/// reports a few times in that time, or more often while prompts are large.
-static constexpr std::size_t MostOwnParts = 64;
+/// The number of own contributions that are kept. A sum that contains one
+/// arrives within a second, in which a host sends a few reports, or more while
+/// prompts are large.
+static constexpr std::size_t MaxOwnContributions = 64;
 
 SourceId sourceOf(const FleetReport &report) {
   switch (report.Scope) {
@@ -21,10 +22,10 @@
   return SourceId("host " + report.Reporter.text());
 }
 
-/// The order in which hosts aggregate: the largest first, those that are cut
-/// off from the store last. Where the store is away all are; somebody has to
-/// tell other zones all the same, or each zone would give out the whole of a
-/// team's allotment.
+/// The order in which hosts become the aggregator: the largest first, hosts
+/// that can't reach the store last. While the store is down no host can reach
+/// it; one of them must still report to other zones, or each zone would grant
+/// the whole of a team's allotment.
 static bool ranksBefore(const FleetMember &a, const FleetMember &b) {
   if (a.IsStoreUnreachable != b.IsStoreUnreachable)
     return b.IsStoreUnreachable;
@@ -40,21 +41,21 @@
   for (const FleetMember &it : members)
     if (it.Host != Settings.Self)
       Registered[it.Host] = it;
-  countHosts();
+  updateKnownHostCount();
 }
 
-void FleetView::countHosts() {
-  HostsSeen = 1 + Registered.size();
+void FleetView::updateKnownHostCount() {
+  KnownHostCount = 1 + Registered.size();
   for (const auto &[host, it] : Known)
     if (Registered.count(host) == 0)
-      ++HostsSeen;
+      ++KnownHostCount;
 }
 
 bool FleetView::isAggregatedByZone() const {
-  return HostsSeen > Settings.FullMeshHosts;
+  return KnownHostCount > Settings.FullMeshHosts;
 }
 
-bool FleetView::isForUs(const FleetReport &report) const {
+bool FleetView::isForThisHost(const FleetReport &report) const {
   switch (report.Scope) {
   case ReportScope::Host:
     return report.Reporter != Settings.Self;
@@ -68,35 +69,40 @@
 }
 
 bool FleetView::receive(const FleetReport &report, Instant now) {
-  if (!isForUs(report))
+  if (!isForThisHost(report))
     return false;
   const SourceId source = sourceOf(report);
-  Heard &heard = Reports[source];
-  const bool isSameLife = heard.Report.Incarnation == report.Incarnation;
-  if (isSameLife && report.Sequence <= heard.Report.Sequence)
+  StoredReport &storedReport = Reports[source];
+  const bool isSameIncarnation =
+      storedReport.Report.Incarnation == report.Incarnation;
+  if (isSameIncarnation && report.Sequence <= storedReport.Report.Sequence)
     return false;
-  // Of two that aggregate at the same time the first is believed until it is
-  // silent; going to and fro between two sums would charge the teams twice.
+  // While two hosts aggregate at the same time, only the first is accepted
+  // until it is silent; alternating between two sums would charge the teams
+  // twice.
   const bool isSum = report.Scope != ReportScope::Host;
-  if (isSum && !isSameLife && now - heard.At < Settings.AggregatorTimeout)
+  if (isSum && !isSameIncarnation &&
+      now - storedReport.At < Settings.AggregatorTimeout)
     return false;
-  noteMembers(report, now);
+  updateKnownMembers(report, now);
   if (report.Scope == ReportScope::Host && report.Zone == Settings.Zone)
     ZoneUsed.note(source,
-                  {report.Incarnation, report.Used, {}, CountFrom::Zero}, now);
-  // While all hosts are young those that aggregate change quickly, and each sum
-  // holds the ones before it. Later a new aggregator may know of less, or of
-  // more that was let in long ago.
+                  {report.Incarnation, report.Used, {}, CounterBaseline::Zero},
+                  now);
+  // While all hosts have only just started, aggregators change quickly and each
+  // sum contains the previous ones. Later a new aggregator may be missing some
+  // usage, or include usage that was admitted long ago.
   if (report.Scope == ReportScope::Zone)
     OthersUsed.note(source,
                     {report.Incarnation, report.Used, report.Pace,
-                     report.Uptime < Settings.StartupPeriod ? CountFrom::Known
-                                                            : CountFrom::Now},
+                     report.Uptime < Settings.StartupPeriod
+                         ? CounterBaseline::PreviousReporter
+                         : CounterBaseline::EstimatedFromPace},
                     now);
-  heard.Report = report;
-  heard.At = now;
+  storedReport.Report = report;
+  storedReport.At = now;
   if (report.Scope == ReportScope::OwnZone)
-    takeOutOwn(heard.Report);
+    subtractOwnContribution(storedReport.Report);
   return true;
 }
 
@@ -105,18 +111,19 @@
   return it == Reports.end() ? nullptr : &it->second.Report;
 }
 
-/// Takes this host's own part out of a sum over its zone, as it was in the
-/// report that the sum holds. A sum that holds a report of an earlier process
-/// holds nothing of this one.
-void FleetView::takeOutOwn(FleetReport &sum) const {
+/// Subtracts this host's own contribution from a sum over its zone, as of the
+/// report that the sum includes. A sum that includes a report of an earlier
+/// process contains nothing of this one.
+void FleetView::subtractOwnContribution(FleetReport &sum) const {
   const auto included = sum.Included.find(Settings.Self);
   if (included == sum.Included.end())
     return;
   const auto part =
-      std::find_if(OwnParts.begin(), OwnParts.end(), [&](const OwnPart &it) {
-        return it.Sequence == included->second;
-      });
-  if (part == OwnParts.end())
+      std::find_if(OwnContributions.begin(), OwnContributions.end(),
+                   [&](const OwnContribution &it) {
+                     return it.Sequence == included->second;
+                   });
+  if (part == OwnContributions.end())
     return;
   for (const auto &[id, work] : part->Open) {
     OutstandingWork &it = sum.Open[id];
@@ -131,75 +138,76 @@
     sum.Used[team] -= units;
 }
 
-void FleetView::noteMembers(const FleetReport &report, Instant now) {
+void FleetView::updateKnownMembers(const FleetReport &report, Instant now) {
   const std::size_t before = Known.size();
   for (const FleetMember &it : report.Members) {
     if (it.Host == Settings.Self)
       continue;
-    // A host's own word goes before what others say of it.
-    const bool isOwnWord = report.Scope == ReportScope::Host;
+    // A host's own report takes precedence over what others report about it.
+    const bool isOwnReport = report.Scope == ReportScope::Host;
     const bool isOfSum =
         (report.Scope == ReportScope::OwnZone) == (it.Zone == Settings.Zone);
-    if (!isOwnWord && !isOfSum)
+    if (!isOwnReport && !isOfSum)
       continue;
     KnownMember &known = Known[it.Host];
-    if (isOwnWord)
+    if (isOwnReport)
       known = {it, now, now};
     else if (now - known.LastReportAt >= Settings.AggregatorTimeout)
       known = {it, now, known.LastReportAt};
   }
   if (Known.size() != before)
-    countHosts();
+    updateKnownHostCount();
   if (report.Scope == ReportScope::Host || report.Members.empty())
     return;
-  // A sum names all that still answer there.
-  std::set<HostId> named;
+  // A sum lists all hosts that are still alive there.
+  std::set<HostId> listedHosts;
   for (const FleetMember &it : report.Members)
-    named.insert(it.Host);
+    listedHosts.insert(it.Host);
   for (auto &[host, it] : Known) {
     const ZoneId &zone = it.Member.Zone;
     const bool isCovered = report.Scope == ReportScope::OtherZones
                                ? zone != Settings.Zone
                                : zone == report.Zone;
-    if (isCovered && named.count(host) == 0 &&
+    if (isCovered && listedHosts.count(host) == 0 &&
         now - it.LastReportAt >= Settings.AggregatorTimeout)
-      it.LastSeenAt = std::min(it.LastSeenAt, now - silenceOf(it));
+      it.LastSeenAt = std::min(it.LastSeenAt, now - silenceLimitOf(it));
   }
 }
 
-/// How long a host may be silent before it counts as not answering. Of hosts
-/// that are known by sums news comes by one or two others and less often.
-Duration FleetView::silenceOf(const KnownMember &it) const {
-  const bool isByOwnWord =
+/// How long a host may be silent before it counts as unreachable. Updates about
+/// hosts that are known from sums pass through one or two other hosts and
+/// arrive less often.
+Duration FleetView::silenceLimitOf(const KnownMember &it) const {
+  const bool isReportedDirectly =
       !isAggregatedByZone() || it.LastSeenAt == it.LastReportAt;
-  return isByOwnWord ? Settings.Silence : Settings.Silence * 2;
+  return isReportedDirectly ? Settings.SilenceLimit : Settings.SilenceLimit * 2;
 }
 
 bool FleetView::isAnswering(const KnownMember &it, Instant now) const {
-  return now - it.LastSeenAt < silenceOf(it);
+  return now - it.LastSeenAt < silenceLimitOf(it);
 }
 
-/// Whether the host counts where hosts are ranked. One that speaks to this host
-/// is silent after a short time; of one that a sum has named since it spoke
-/// last, if it ever did, the word of the sum counts until the next aggregator
-/// has had the time to begin.
+/// Whether the host is included in rankings. A host that reports directly is
+/// dropped after a short silence. A host that a sum has listed since its own
+/// last report, if any, is kept until the next aggregator has had time to take
+/// over.
 bool FleetView::isLive(const KnownMember &it, Duration silence,
                        Instant now) const {
   if (now - it.LastSeenAt < silence)
     return true;
-  const bool isNamed =
+  const bool isListedInSum =
       isAggregatedByZone() &&
       it.LastSeenAt - it.LastReportAt >= Settings.AggregatorTimeout;
-  return isNamed && now - it.LastSeenAt < Settings.Silence * 2;
+  return isListedInSum && now - it.LastSeenAt < Settings.SilenceLimit * 2;
 }
 
 std::vector<HostId> FleetView::removeSilent(Instant now) {
   std::vector<HostId> gone;
   for (auto it = Known.begin(); it != Known.end();) {
     const Duration silence = now - it->second.LastSeenAt;
-    const bool isLeft =
-        it->second.Member.IsLeaving && silence > Settings.Silence;
-    if (!isLeft && silence < Settings.Gone) {
+    const bool hasDeparted =
+        it->second.Member.IsLeaving && silence > Settings.SilenceLimit;
+    if (!hasDeparted && silence < Settings.RemovalTimeout) {
       ++it;
       continue;
     }
@@ -208,14 +216,14 @@
     it = Known.erase(it);
   }
   if (!gone.empty())
-    countHosts();
+    updateKnownHostCount();
   for (auto it = Reports.begin(); it != Reports.end();)
-    it =
-        now - it->second.At < Settings.Gone ? std::next(it) : Reports.erase(it);
+    it = now - it->second.At < Settings.RemovalTimeout ? std::next(it)
+                                                       : Reports.erase(it);
   return gone;
 }
 
-/// The hosts that may aggregate, of the zone or of all, the first first.
+/// The candidates for aggregator, of one zone or of all, highest-ranked first.
 std::vector<FleetMember> FleetView::ranked(const ZoneId *zone, Duration silence,
                                            Instant now) const {
   std::vector<FleetMember> out;
@@ -228,8 +236,7 @@
   return out;
 }
 
-std::size_t FleetView::placeInGroup(const FleetMember &self,
-                                    Instant now) const {
+std::size_t FleetView::rankInGroup(const FleetMember &self, Instant now) const {
   const bool zoned = isAggregatedByZone();
   return static_cast<std::size_t>(
       std::count_if(Known.begin(), Known.end(), [&](const auto &known) {
@@ -241,20 +248,21 @@
       }));
 }
 
-/// The same among all hosts; of other zones' hosts news comes once a second.
-std::size_t FleetView::placeOfAll(const FleetMember &self, Instant now) const {
+/// The host's rank in the whole fleet. Updates about hosts of other zones
+/// arrive about once a second, so those get the longer silence limit.
+std::size_t FleetView::rankInFleet(const FleetMember &self, Instant now) const {
   const auto others =
       std::count_if(Known.begin(), Known.end(), [&](const auto &known) {
         const KnownMember &it = known.second;
         return it.Member.Zone != Settings.Zone && !it.Member.IsLeaving &&
                isAnswering(it, now) && ranksBefore(it.Member, self);
       });
-  return placeInGroup(self, now) +
+  return rankInGroup(self, now) +
          (isAggregatedByZone() ? static_cast<std::size_t>(others) : 0);
 }
 
-/// Before it has heard of the others each host is the first that it knows of.
-bool FleetView::hasHeardOthers(Instant now) const {
+/// Before the first reports arrive every host would rank itself first.
+bool FleetView::hasContactedOthers(Instant now) const {
   const Duration age = now - Settings.ProcessStartedAt;
   if (age < Settings.AggregatorTimeout)
     return false;
@@ -262,31 +270,32 @@
 }
 
 bool FleetView::aggregates(const FleetMember &self, Instant now) const {
-  return hasHeardOthers(now) && !self.IsLeaving && placeInGroup(self, now) == 0;
+  return hasContactedOthers(now) && !self.IsLeaving &&
+         rankInGroup(self, now) == 0;
 }
 
 bool FleetView::isAmongFirst(const FleetMember &self, std::size_t count,
                              Instant now) const {
-  return hasHeardOthers(now) && !self.IsLeaving &&
-         placeOfAll(self, now) < count;
+  return hasContactedOthers(now) && !self.IsLeaving &&
+         rankInFleet(self, now) < count;
 }
 
-/// A host that has only just started has heard of few; those that have
-/// registered then count, or all hosts of a zone would take themselves for the
-/// first.
+/// A host that has only just started has seen few others; until then it also
+/// counts the registered hosts, or all hosts of a zone would consider
+/// themselves collectors.
 bool FleetView::collects(const FleetMember &self, Instant now) const {
   if (!isAggregatedByZone() || aggregates(self, now))
     return true;
-  std::size_t before = placeInGroup(self, now);
+  std::size_t before = rankInGroup(self, now);
   if (now - Settings.ProcessStartedAt < Settings.StartupPeriod)
-    for (const FleetMember &it : unheardOf(Settings.Zone, now))
+    for (const FleetMember &it : unseenHostsOf(Settings.Zone, now))
       if (ranksBefore(it, self))
         ++before;
   return !self.IsLeaving && before < Settings.CollectorsPerZone;
 }
 
 bool FleetView::leads(const FleetMember &self, Instant now) const {
-  return aggregates(self, now) && placeOfAll(self, now) == 0;
+  return aggregates(self, now) && rankInFleet(self, now) == 0;
 }
 
 std::vector<HostId> FleetView::reportPeers(const FleetMember &self,
@@ -294,15 +303,15 @@
   if (collects(self, now))
     return groupPeers();
   std::vector<HostId> out = collectors(now);
-  const auto unheard = unheardOf(Settings.Zone, now);
+  const auto unseenHosts = unseenHostsOf(Settings.Zone, now);
   if (now - Settings.ProcessStartedAt >= Settings.StartupPeriod) {
-    const auto some = someOf(unheard, now);
+    const auto some = firstAndRotatingHost(unseenHosts, now);
     out.insert(out.end(), some.begin(), some.end());
     return out;
   }
-  for (std::size_t n = 0; n < unheard.size() && n < Settings.CollectorsPerZone;
-       ++n)
-    out.push_back(unheard[n].Host);
+  for (std::size_t n = 0;
+       n < unseenHosts.size() && n < Settings.CollectorsPerZone; ++n)
+    out.push_back(unseenHosts[n].Host);
   return out;
 }
 
@@ -341,49 +350,53 @@
       out.insert(hosts[n].Host);
   };
   for (const ZoneId &zone : zones) {
-    auto heard = ranked(&zone, Settings.Silence * 2, now);
-    addFirst(heard);
-    // Hosts that were cut off aggregate again before other zones hear that they
-    // reach the store; what they were not told, their zone would not hear.
-    for (FleetMember &it : heard)
+    auto rankedHosts = ranked(&zone, Settings.SilenceLimit * 2, now);
+    addFirst(rankedHosts);
+    // A host that can reach the store again becomes the aggregator before other
+    // zones learn of it. Without this, its zone would miss the reports sent in
+    // the meantime.
+    for (FleetMember &it : rankedHosts)
       it.IsStoreUnreachable = false;
-    std::sort(heard.begin(), heard.end(), ranksBefore);
-    addFirst(heard);
-    const auto unheard = someOf(unheardOf(zone, now), now);
-    out.insert(unheard.begin(), unheard.end());
+    std::sort(rankedHosts.begin(), rankedHosts.end(), ranksBefore);
+    addFirst(rankedHosts);
+    const auto unseenHosts =
+        firstAndRotatingHost(unseenHostsOf(zone, now), now);
+    out.insert(unseenHosts.begin(), unseenHosts.end());
   }
   return {out.begin(), out.end()};
 }
 
-/// Hosts of the zone that have registered and weren't heard of, in the order in
-/// which they would aggregate.
-std::vector<FleetMember> FleetView::unheardOf(const ZoneId &zone,
-                                              Instant now) const {
+/// The registered hosts of the zone that have not been seen recently, in the
+/// order in which they would aggregate.
+std::vector<FleetMember> FleetView::unseenHostsOf(const ZoneId &zone,
+                                                  Instant now) const {
   std::vector<FleetMember> hosts;
   for (const auto &[host, it] : Registered) {
     const auto known = Known.find(host);
-    const bool isHeard =
+    const bool isRecentlySeen =
         known != Known.end() && isAnswering(known->second, now);
-    if (it.Zone == zone && !isHeard)
+    if (it.Zone == zone && !isRecentlySeen)
       hosts.push_back(it);
   }
   std::sort(hosts.begin(), hosts.end(), ranksBefore);
   return hosts;
 }
 
-/// The one that would aggregate first, and the others by turns. Two zones whose
-/// aggregators know only of each other's lesser hosts would never come to know
-/// each other; and entries of hosts that are long gone stay in the store.
-std::vector<HostId> FleetView::someOf(const std::vector<FleetMember> &unheard,
-                                      Instant now) {
-  if (unheard.empty())
+/// The highest-ranked host, plus one of the others in rotation. Otherwise two
+/// zones whose aggregators know only lower-ranked hosts of each other would
+/// never connect; and hosts that exited long ago stay registered in the store,
+/// so the first alone is not enough.
+std::vector<HostId>
+FleetView::firstAndRotatingHost(const std::vector<FleetMember> &unseenHosts,
+                                Instant now) {
+  if (unseenHosts.empty())
     return {};
   const auto turn =
       static_cast<std::size_t>(toSeconds(now.time_since_epoch())) %
-      unheard.size();
-  std::vector<HostId> out{unheard.front().Host};
+      unseenHosts.size();
+  std::vector<HostId> out{unseenHosts.front().Host};
   if (turn != 0)
-    out.push_back(unheard[turn].Host);
+    out.push_back(unseenHosts[turn].Host);
   return out;
 }
 
@@ -414,9 +427,9 @@
     return false;
   };
   std::vector<const FleetReport *> out;
-  for (const auto &[source, heard] : Reports)
-    if (counts(heard.Report))
-      out.push_back(&heard.Report);
+  for (const auto &[source, storedReport] : Reports)
+    if (counts(storedReport.Report))
+      out.push_back(&storedReport.Report);
   return out;
 }
 
@@ -435,7 +448,7 @@
   }
 }
 
-/// The middle of what several reports say of each team.
+/// The median level that the reports give for each team.
 static std::map<TeamId, double>
 medianLevels(const std::vector<const FleetReport *> &reports) {
   std::map<TeamId, std::vector<double>> all;
@@ -457,14 +470,14 @@
   out.Used = ZoneUsed.total();
   out.Pace = ZoneUsed.pace(now);
   std::vector<const FleetReport *> summed{&own};
-  for (const auto &[source, heard] : Reports) {
-    if (heard.Report.Scope != ReportScope::Host ||
-        heard.Report.Zone != Settings.Zone)
+  for (const auto &[source, storedReport] : Reports) {
+    if (storedReport.Report.Scope != ReportScope::Host ||
+        storedReport.Report.Zone != Settings.Zone)
       continue;
-    summed.push_back(&heard.Report);
-    addTo(out.Open, heard.Report.Open);
-    addTo(out.Demand, heard.Report.Demand);
-    out.Uptime = std::max(out.Uptime, heard.Report.Uptime);
+    summed.push_back(&storedReport.Report);
+    addTo(out.Open, storedReport.Report.Open);
+    addTo(out.Demand, storedReport.Report.Demand);
+    out.Uptime = std::max(out.Uptime, storedReport.Report.Uptime);
   }
   for (const auto &[host, it] : Known)
     if (it.Member.Zone == Settings.Zone &&
@@ -478,8 +491,8 @@
   FleetReport out = zone;
   out.Scope = ReportScope::OwnZone;
   out.Included[zone.Reporter] = zone.Sequence;
-  for (const auto &[source, heard] : Reports) {
-    const FleetReport &it = heard.Report;
+  for (const auto &[source, storedReport] : Reports) {
+    const FleetReport &it = storedReport.Report;
     if (it.Scope == ReportScope::Host && it.Zone == Settings.Zone)
       out.Included[it.Reporter] = it.Sequence;
   }
@@ -494,13 +507,13 @@
   out.Open.clear();
   out.Demand.clear();
   std::vector<const FleetReport *> summed;
-  for (const auto &[source, heard] : Reports) {
-    if (heard.Report.Scope != ReportScope::Zone)
+  for (const auto &[source, storedReport] : Reports) {
+    if (storedReport.Report.Scope != ReportScope::Zone)
       continue;
-    summed.push_back(&heard.Report);
-    addTo(out.Open, heard.Report.Open);
-    addTo(out.Demand, heard.Report.Demand);
-    out.Uptime = std::max(out.Uptime, heard.Report.Uptime);
+    summed.push_back(&storedReport.Report);
+    addTo(out.Open, storedReport.Report.Open);
+    addTo(out.Demand, storedReport.Report.Demand);
+    out.Uptime = std::max(out.Uptime, storedReport.Report.Uptime);
   }
   out.Members.clear();
   for (const auto &[host, it] : Known)
@@ -512,11 +525,11 @@
 }
 
 void FleetView::noteOwn(const FleetReport &own, Instant now) {
-  ZoneUsed.note(sourceOf(own), {own.Incarnation, own.Used, {}, CountFrom::Zero},
-                now);
-  OwnParts.push_back({own.Sequence, own.Open, own.Demand, own.Used});
-  if (OwnParts.size() > MostOwnParts)
-    OwnParts.pop_front();
+  ZoneUsed.note(sourceOf(own),
+                {own.Incarnation, own.Used, {}, CounterBaseline::Zero}, now);
+  OwnContributions.push_back({own.Sequence, own.Open, own.Demand, own.Used});
+  if (OwnContributions.size() > MaxOwnContributions)
+    OwnContributions.pop_front();
 }
 
 bool FleetView::isOfOwnZone(const HostId &host) const {
@@ -561,7 +574,7 @@
 
 bool FleetView::hasRecentZoneSum(Instant now) const {
   const auto it = Reports.find(SourceId("own zone"));
-  return it != Reports.end() && now - it->second.At < Settings.Silence;
+  return it != Reports.end() && now - it->second.At < Settings.SilenceLimit;
 }
 
 double FleetView::silentFraction(Instant now) const {
@@ -572,9 +585,9 @@
   return static_cast<double>(silent) / hostCount();
 }
 
-bool FleetView::hasRecentContact(Duration notLonger, Instant now) const {
+bool FleetView::hasRecentContact(Duration maxAge, Instant now) const {
   return std::any_of(Known.begin(), Known.end(), [&](const auto &it) {
-    return now - it.second.LastSeenAt < notLonger;
+    return now - it.second.LastSeenAt < maxAge;
   });
 }
 
--- a/Libraries/LibServing/FleetView.h
+++ b/Libraries/LibServing/FleetView.h
@@ -14,166 +14,176 @@
 struct FleetViewSettings {
   HostId Self;
   ZoneId Zone;
-  /// When this host's process began.
+  /// When this host's process started.
   Instant ProcessStartedAt{};
-  /// Up to so many hosts all report to all. Beyond it only the hosts of a zone
-  /// do, and one of them aggregates for the zone.
+  /// The largest number of hosts that all report to each other. In a larger
+  /// fleet only the hosts of a zone do, and one of them aggregates for the
+  /// zone.
   std::size_t FullMeshHosts = 16;
-  /// A host that is silent for so long no longer aggregates for others ...
+  /// A host that has been silent for this long is no longer the aggregator.
   Duration AggregatorTimeout = milliseconds(700);
-  /// ... after this time it is left out of address lookups ...
-  Duration Silence = milliseconds(1500);
-  /// ... and after this time it is forgotten.
-  Duration Gone = seconds(15);
-  /// Hosts of each other zone that an aggregator reports to: the one that
-  /// aggregates there and the one that would aggregate next, and as many that
-  /// would if no host were cut off from the store.
+  /// A host that has been silent for this long is left out of address lookups.
+  /// Twice as long applies to hosts that are only known from sums.
+  Duration SilenceLimit = milliseconds(1500);
+  /// A host that has been silent for this long is removed.
+  Duration RemovalTimeout = seconds(15);
+  /// The number of hosts in each other zone that an aggregator reports to: the
+  /// zone's aggregator and its successor, and the same number chosen as if
+  /// every host could reach the store.
   std::size_t AggregatorsPerZone = 2;
-  /// Hosts of a zone that hear all its hosts: the one that aggregates and those
-  /// that would next. The others hear the sum.
+  /// The number of hosts in a zone that receive the reports of all its hosts:
+  /// the aggregator and those next in rank. The others receive the zone's sum.
   std::size_t CollectorsPerZone = 3;
-  /// A fleet whose oldest process is younger than that has only just started.
+  /// A fleet whose oldest process is younger than this has only just started.
   Duration StartupPeriod = seconds(3);
 };
 
-/// A host and when it was last heard of, by its own word or by one that
-/// aggregates for it.
+/// A host and when it was last seen, in its own report or in a sum.
 struct KnownMember {
   FleetMember Member;
   Instant LastSeenAt{};
-  /// By its own word.
+  /// When its own report last arrived.
   Instant LastReportAt{};
 };
 
-/// What one entry host knows of the others, and who tells what to whom. In a
-/// small fleet each host reports to all others. In a large one that would cost
-/// each host messages by the square of the fleet; there a host reports to the
-/// few largest live hosts of its zone, the collectors. The first of them, the
-/// aggregator, adds the reports up and passes the sum to other zones'
-/// aggregators and to its own zone, and theirs to its own zone. Nobody agrees
-/// on an aggregator: each host ranks those that it hears, and two that
-/// aggregate at the same time tell the same. Not thread-safe.
+/// One entry host's view of the fleet, and which host reports to which. In a
+/// small fleet each host reports to all others. In a large fleet the number of
+/// messages would grow with the square of the number of hosts, so a host
+/// reports to the few highest-ranked live hosts of its zone, the collectors.
+/// The first of them, the aggregator, sums the reports, sends the zone's sum to
+/// the aggregators of other zones and to its own zone, and forwards theirs to
+/// its own zone. Aggregators are not elected: each host ranks the hosts that it
+/// has seen recently, and two hosts that aggregate at the same time report the
+/// same sums. Not thread-safe.
 class FleetView {
 public:
   explicit FleetView(FleetViewSettings settings);
 
-  /// The hosts that have registered in the store; some may be long gone.
+  /// Sets the hosts that are registered in the store; some may have exited long
+  /// ago.
   void noteRegistered(const std::vector<FleetMember> &members);
-  /// Takes a report; false if it is older than what is known, or not for this
+  /// Processes a report. Returns false if it is outdated or not meant for this
   /// host.
   bool receive(const FleetReport &report, Instant now);
-  /// The source's newest report as it counts here: a sum over the own zone is
-  /// without this host's part. Nothing if there is none.
+  /// The newest report of the source as it is counted here: a sum over this
+  /// host's own zone comes without this host's contribution. Null if there is
+  /// none.
   const FleetReport *reportOf(const SourceId &source) const;
-  /// Drops hosts that have gone; returns them.
+  /// Removes hosts that have been silent for too long or have left, and returns
+  /// them.
   std::vector<HostId> removeSilent(Instant now);
 
-  /// Whether the fleet is so large that zones report sums.
+  /// Whether the fleet is too large for a full mesh, so that reports are
+  /// aggregated by zone.
   bool isAggregatedByZone() const;
-  /// Whether this host aggregates for its group: its zone, or in a small fleet
-  /// all hosts. The aggregator also asks the store for all of them.
+  /// Whether this host is the aggregator of its group: its zone, or all hosts
+  /// in a small fleet. The aggregator also queries the store for the group.
   bool aggregates(const FleetMember &self, Instant now) const;
-  /// Whether this host is among the first so many of all.
+  /// Whether this host is among the `count` highest-ranked hosts of the fleet.
   bool isAmongFirst(const FleetMember &self, std::size_t count,
                     Instant now) const;
 
-  /// Whether this host hears each host of its group, and they it.
+  /// Whether this host exchanges reports with every host of its group.
   bool collects(const FleetMember &self, Instant now) const;
-  /// Whether this host aggregates and goes before all that do in other zones:
-  /// it asks the store for all zones.
+  /// Whether this host is the highest-ranked aggregator of all zones, which
+  /// queries the store for the whole fleet.
   bool leads(const FleetMember &self, Instant now) const;
 
   /// All hosts of the group.
   std::vector<HostId> groupPeers() const;
-  /// The hosts that this host's reports go to.
+  /// The hosts that this host sends its reports to.
   std::vector<HostId> reportPeers(const FleetMember &self, Instant now) const;
-  /// The live hosts of the zone that collect, this one left out.
+  /// The live collectors of this host's zone, without this host.
   std::vector<HostId> collectors(Instant now) const;
-  /// The hosts of other zones that a zone's sum goes to.
+  /// The hosts of other zones that receive this zone's sum.
   std::vector<HostId> otherAggregators(Instant now) const;
-  /// Where a host listens for peers; empty if it isn't known.
+  /// The address on which a host accepts connections from peers; empty if
+  /// unknown.
   std::string peerAddressOf(const HostId &host) const;
 
-  /// The reports whose contents count here: each host's work in exactly one.
+  /// The reports that are counted here; they cover each host's work exactly
+  /// once.
   std::vector<const FleetReport *> counted(const FleetMember &self,
                                            Instant now) const;
-  /// The sum over this host's zone, its own report included, and the sum over
-  /// the other zones. Usage and moves are left to the caller.
+  /// The sum over this host's zone including its own report, and the sum over
+  /// the other zones. The caller fills in usage and rollouts.
   FleetReport zoneReport(const FleetReport &own, Instant now) const;
   FleetReport othersReport(const FleetReport &own, Instant now) const;
-  /// The zone's sum as it goes to the zone itself.
+  /// The zone's sum as it is sent to the zone's own hosts.
   FleetReport ownZoneReport(const FleetReport &zone) const;
-  /// Counts what this host lets in for its zone's sum, and keeps it to be taken
-  /// out of the sums that come back.
+  /// Adds this host's usage to its zone's sum, and stores its contribution so
+  /// that it can be subtracted from sums that contain it.
   void noteOwn(const FleetReport &own, Instant now);
 
-  /// Whether the host, or this one, is of this host's zone, as far as is known.
+  /// Whether the host is this one or is known to be in this host's zone.
   bool isOfOwnZone(const HostId &host) const;
-  /// All other hosts that are known.
+  /// All other known hosts.
   std::vector<KnownMember> members() const;
-  /// Each host that has registered or is known, this one included, also those
-  /// that are silent; none before the store has shown who has registered.
+  /// All registered or known hosts including this one, also silent ones; empty
+  /// until the registered hosts have been read from the store.
   std::vector<HostId> allHosts() const;
-  /// Hosts that take calls, this one included; at least 1.
+  /// The number of known hosts that are not leaving, including this one; at
+  /// least 1.
   int hostCount() const;
-  /// Whether the host was heard of lately enough for callers to be sent there.
+  /// Whether the host was seen recently enough to send callers there.
   bool isAnswering(const KnownMember &it, Instant now) const;
-  /// Whether another host says that it holds the duties and can use them: one
-  /// that is cut off from the store will lose them, and the next holder has to
-  /// see the lease unchanged for a whole term.
+  /// Whether another host reports that it holds the duties and can reach the
+  /// store. A holder that can't reach it will lose the lease, and the next
+  /// holder must first see the lease unchanged for a whole term.
   bool holdsDuties(Instant now) const;
-  /// Whether any other host was heard of, not longer ago.
-  bool hasRecentContact(Duration notLonger, Instant now) const;
-  /// Whether this zone's aggregator was heard of lately.
+  /// Whether any other host was seen within the last `maxAge`.
+  bool hasRecentContact(Duration maxAge, Instant now) const;
+  /// Whether a sum from this zone's aggregator arrived recently.
   bool hasRecentZoneSum(Instant now) const;
-  /// The part of the hosts that are known and not leaving that was not heard of
-  /// lately, in [0, 1].
+  /// The fraction, in [0, 1], of the known hosts that are not leaving but have
+  /// not been seen recently.
   double silentFraction(Instant now) const;
   const FleetViewSettings &settings() const { return Settings; }
 
 private:
-  struct Heard {
+  struct StoredReport {
     FleetReport Report;
     Instant At{};
   };
 
-  /// What a report of this host held.
-  struct OwnPart {
+  /// What one report of this host contained.
+  struct OwnContribution {
     std::uint64_t Sequence = 0;
     std::map<UpstreamId, OutstandingWork> Open;
     DemandByService Demand;
     std::map<TeamId, UsedUnits> Used;
   };
 
-  void countHosts();
-  bool isForUs(const FleetReport &report) const;
-  void takeOutOwn(FleetReport &sum) const;
+  void updateKnownHostCount();
+  bool isForThisHost(const FleetReport &report) const;
+  void subtractOwnContribution(FleetReport &sum) const;
   bool isLive(const KnownMember &it, Duration silence, Instant now) const;
-  void noteMembers(const FleetReport &report, Instant now);
-  bool hasHeardOthers(Instant now) const;
-  Duration silenceOf(const KnownMember &it) const;
+  void updateKnownMembers(const FleetReport &report, Instant now);
+  bool hasContactedOthers(Instant now) const;
+  Duration silenceLimitOf(const KnownMember &it) const;
   std::vector<FleetMember> ranked(const ZoneId *zone, Duration silence,
                                   Instant now) const;
-  std::vector<FleetMember> unheardOf(const ZoneId &zone, Instant now) const;
-  static std::vector<HostId> someOf(const std::vector<FleetMember> &unheard,
-                                    Instant now);
-  std::size_t placeInGroup(const FleetMember &self, Instant now) const;
-  std::size_t placeOfAll(const FleetMember &self, Instant now) const;
+  std::vector<FleetMember> unseenHostsOf(const ZoneId &zone, Instant now) const;
+  static std::vector<HostId>
+  firstAndRotatingHost(const std::vector<FleetMember> &unseenHosts,
+                       Instant now);
+  std::size_t rankInGroup(const FleetMember &self, Instant now) const;
+  std::size_t rankInFleet(const FleetMember &self, Instant now) const;
 
   FleetViewSettings Settings;
   std::map<HostId, FleetMember> Registered;
   bool HasRegistered = false;
   std::map<HostId, KnownMember> Known;
-  /// Hosts that have registered or are known, this one included.
-  std::size_t HostsSeen = 1;
-  std::map<SourceId, Heard> Reports;
-  /// Of this host's last reports, the oldest first.
-  std::deque<OwnPart> OwnParts;
+  /// The number of hosts that are registered or known, including this one.
+  std::size_t KnownHostCount = 1;
+  std::map<SourceId, StoredReport> Reports;
+  /// The contributions of this host's last reports, oldest first.
+  std::deque<OwnContribution> OwnContributions;
   UsageAggregator ZoneUsed;
   UsageAggregator OthersUsed;
 };
 
-/// Whose report it is.
+/// The source of a report.
 SourceId sourceOf(const FleetReport &report);
 
 } // namespace sorrelbay
--- a/Libraries/LibServing/RetryBudgetShare.h
+++ b/Libraries/LibServing/RetryBudgetShare.h
@@ -5,24 +5,24 @@
 
 namespace sorrelbay {
 
-/// One host's part of the budget for repeated sends, which is one for all
-/// hosts.
+/// One host's share of the retry budget, which is common to all hosts.
 struct RetryBudgetShare {
-  /// Repeats that each call earns.
+  /// Retries that each call earns.
   double Share = 0;
-  /// Repeats that a new process begins with.
+  /// Retries that a new process starts with.
   double Begin = 1;
-  /// Repeats that may be saved up.
+  /// The maximum number of retries that may accumulate.
   double MaxBalance = 0;
 };
 
-/// The part of each of so many hosts in a budget of `share` repeats a call and
-/// `slack` besides. The share is not used up: calls that come just before a
-/// window's end are repeated in the next one. Each host may save up half of its
-/// part of the slack, so that the sum stays below while hosts come and go, and
-/// one repeat however many hosts there are. All but one is earned by calls:
-/// hosts that start together know of no others yet, and each would begin with
-/// the slack of the whole fleet.
+/// The share of each of `hosts` hosts in a budget of `share` retries per call
+/// plus `slack`. Only part of `share` is used, because calls that arrive just
+/// before the end of a window are retried in the next one. Each host may
+/// accumulate half of its part of the slack, so that the total stays within the
+/// slack while hosts come and go, but at least one retry however many hosts
+/// there are. All but the first retry are earned by calls: hosts that start
+/// together don't know of each other yet, and each would start with the slack
+/// of the whole fleet.
 inline RetryBudgetShare retryBudgetShare(double share, std::int64_t slack,
                                          int hosts) {
   constexpr double UsedShare = 0.7;
--- a/Libraries/LibServing/RolloutOrder.h
+++ b/Libraries/LibServing/RolloutOrder.h
@@ -6,17 +6,17 @@
 
 namespace sorrelbay {
 
-/// How far an ordered move of a service to a version is, as the operators'
-/// status says.
-enum class RolloutOutcome { Unstarted, InProgress, Completed, RolledBack };
+/// The progress of an ordered rollout of a version, as recorded in the status
+/// of the operators' order.
+enum class RolloutOutcome { NotStarted, InProgress, Completed, RolledBack };
 
-/// The operators' order to move a service's calls to replicas of a version.
+/// An operator's order to move a service's calls to the replicas of a version.
 struct RolloutOrder {
   ServiceId Service;
   VersionId Target;
   Duration Within{};
-  /// What the status of the order says, for this target.
-  RolloutOutcome Outcome = RolloutOutcome::Unstarted;
+  /// The outcome that the order's status records for this target.
+  RolloutOutcome Outcome = RolloutOutcome::NotStarted;
 
   friend bool operator==(const RolloutOrder &a, const RolloutOrder &b) {
     return std::tie(a.Service, a.Target, a.Within, a.Outcome) ==
--- a/Libraries/LibServing/StopPolicy.cpp
+++ b/Libraries/LibServing/StopPolicy.cpp
@@ -2,8 +2,8 @@
 
 namespace sorrelbay {
 
-/// The part of the grace in which every call is taken.
-static constexpr double OpenShare = 0.3;
+/// The fraction of the grace period in which every call is accepted.
+static constexpr double AcceptAllShare = 0.3;
 static constexpr double MarginShare = 0.08;
 
 Duration stopMargin(Duration grace) {
@@ -12,7 +12,7 @@
 
 bool acceptsCallWhileStopping(Duration sinceStop, Duration grace,
                               Duration waitLimit) {
-  if (toSeconds(sinceStop) < toSeconds(grace) * OpenShare)
+  if (toSeconds(sinceStop) < toSeconds(grace) * AcceptAllShare)
     return true;
   return sinceStop + waitLimit < grace - stopMargin(grace);
 }
--- a/Libraries/LibServing/StopPolicy.h
+++ b/Libraries/LibServing/StopPolicy.h
@@ -4,15 +4,16 @@
 
 namespace sorrelbay {
 
-/// Whether a host that was asked to stop takes a call that has just come. At
-/// first it takes all, because callers keep its address for a while and a
-/// refusal would cost them a round; later only those that are sure to end
-/// before the process does. A long answer that is taken late is cut when the
-/// grace is over, and its caller has half a quote.
+/// Whether a host that is shutting down accepts a new call. At first it accepts
+/// all of them, because callers keep its address for a while and a refusal
+/// would cost them a round trip; later only those that are sure to end before
+/// the process does. A long response that is accepted late is cut off when the
+/// grace period ends, and its caller is left with an incomplete answer.
 bool acceptsCallWhileStopping(Duration sinceStop, Duration grace,
                               Duration waitLimit);
 
-/// What a stopping host leaves of its grace for its own end.
+/// The part of the grace period that is reserved for the process's own
+/// shutdown.
 Duration stopMargin(Duration grace);
 
 } // namespace sorrelbay
--- a/Libraries/LibServing/StoreReachability.cpp
+++ b/Libraries/LibServing/StoreReachability.cpp
@@ -2,19 +2,19 @@
 
 namespace sorrelbay {
 
-/// Others ask by themselves where the news of one that aggregates stop, so that
-/// nothing is lost by this wait.
-static constexpr Duration CutOffAfter = seconds(1);
+/// Hosts query the store themselves when an aggregator's updates stop, so
+/// nothing is lost during this delay.
+static constexpr Duration UnreachableAfter = seconds(1);
 
 void StoreReachability::note(bool isReached, Instant now) {
   if (isReached)
-    Since.reset();
-  else if (!Since)
-    Since = now;
+    UnreachedSince.reset();
+  else if (!UnreachedSince)
+    UnreachedSince = now;
 }
 
 bool StoreReachability::isStoreUnreachable(Instant now) const {
-  return Since && now - *Since >= CutOffAfter;
+  return UnreachedSince && now - *UnreachedSince >= UnreachableAfter;
 }
 
 } // namespace sorrelbay
--- a/Libraries/LibServing/StoreReachability.h
+++ b/Libraries/LibServing/StoreReachability.h
@@ -5,22 +5,23 @@
 
 namespace sorrelbay {
 
-/// Whether this host reaches the store, by how its calls ended. Not
-/// thread-safe.
+/// Whether this host can reach the store, judged by the results of its
+/// requests. Not thread-safe.
 class StoreReachability {
 public:
-  /// A call reached the store and came back, or it did not.
+  /// Records whether a request reached the store and was answered.
   void note(bool isReached, Instant now);
-  /// The last call did not: this host goes on asking by itself.
-  bool isUnreached() const { return Since.has_value(); }
-  /// No call has for a while. Where the store only breaks its watches off, or
-  /// is away for a moment, all hosts that ask it fail at the same time; if each
-  /// of them said at once that it is cut off, all that aggregate for others
-  /// would change at that moment.
+  /// Whether the last request failed: this host then keeps querying the store
+  /// itself.
+  bool isUnreached() const { return UnreachedSince.has_value(); }
+  /// Whether no request has succeeded for a while. When the store closes its
+  /// watches or is down for a moment, all hosts that query it fail at the same
+  /// time; if each reported at once that it can't reach the store, all
+  /// aggregators would be replaced at that moment.
   bool isStoreUnreachable(Instant now) const;
 
 private:
-  std::optional<Instant> Since;
+  std::optional<Instant> UnreachedSince;
 };
 
 } // namespace sorrelbay
--- a/Libraries/LibServing/UsageAggregator.cpp
+++ b/Libraries/LibServing/UsageAggregator.cpp
@@ -3,47 +3,47 @@
 
 namespace sorrelbay {
 
-/// The pace is that of so long, looked at so often.
+/// The pace is measured over PaceSpan from samples taken every SampleInterval.
 static constexpr Duration PaceSpan = seconds(1);
-static constexpr Duration SampleGap = milliseconds(200);
-/// Between two reporters a source is believed to have gone on for so long at
-/// the most.
-static constexpr Duration LongestGap = seconds(5);
+static constexpr Duration SampleInterval = milliseconds(200);
+/// The longest time between two reporters for which growth is estimated.
+static constexpr Duration MaxReporterGap = seconds(5);
 
-/// Another process tells from now on.
-void UsageAggregator::begin(Known &known, const ReportedUsage &told,
-                            Instant now) {
+/// Handles the first report of another process.
+void UsageAggregator::beginIncarnation(Known &known,
+                                       const ReportedUsage &usageReport,
+                                       Instant now) {
   const bool isFirst = known.Incarnation.empty();
-  known.Incarnation = told.Incarnation;
-  if (told.From == CountFrom::Known)
+  known.Incarnation = usageReport.Incarnation;
+  if (usageReport.From == CounterBaseline::PreviousReporter)
     return;
   known.Used.clear();
-  if (told.From == CountFrom::Zero)
+  if (usageReport.From == CounterBaseline::Zero)
     return;
-  known.Used = told.Used;
+  known.Used = usageReport.Used;
   if (isFirst)
     return;
-  const double gap = toSeconds(std::min(now - known.At, LongestGap));
-  for (const auto &[team, pace] : told.Pace)
+  const double gap = toSeconds(std::min(now - known.At, MaxReporterGap));
+  for (const auto &[team, pace] : usageReport.Pace)
     known.Used[team] -= static_cast<UsedUnits>(pace * gap);
 }
 
-void UsageAggregator::note(const SourceId &source, const ReportedUsage &told,
-                           Instant now) {
+void UsageAggregator::note(const SourceId &source,
+                           const ReportedUsage &usageReport, Instant now) {
   Known &known = Sources[source];
   const bool isFirst = known.Incarnation.empty();
-  if (known.Incarnation != told.Incarnation)
-    begin(known, told, now);
-  // What a source that was silent for long has counted came over all that time.
+  if (known.Incarnation != usageReport.Incarnation)
+    beginIncarnation(known, usageReport, now);
+  // What a source counted during a long silence is spread over that time.
   const double late =
       isFirst ? 1 : toSeconds(now - known.At) / toSeconds(PaceSpan);
   known.At = now;
-  for (const auto &[team, units] : told.Used) {
+  for (const auto &[team, units] : usageReport.Used) {
     UsedUnits &before = known.Used[team];
     const UsedUnits growth = std::max<UsedUnits>(0, units - before);
     before = units;
     Total[team] += growth;
-    // The first word of a source tells of its whole life and of no pace.
+    // The first report of a source covers its whole lifetime and gives no pace.
     if (!isFirst)
       Grown[team] += static_cast<UsedUnits>(static_cast<double>(growth) /
                                             std::max(1.0, late));
@@ -52,7 +52,7 @@
 }
 
 void UsageAggregator::sample(Instant now) {
-  if (!Samples.empty() && now - Samples.back().At < SampleGap)
+  if (!Samples.empty() && now - Samples.back().At < SampleInterval)
     return;
   Samples.push_back({now, Grown});
   while (Samples.size() > 1 && now - Samples[1].At >= PaceSpan)
--- a/Libraries/LibServing/UsageAggregator.h
+++ b/Libraries/LibServing/UsageAggregator.h
@@ -7,38 +7,39 @@
 
 namespace sorrelbay {
 
-/// From where a source's counters are added when another process begins to
-/// tell them.
-enum class CountFrom {
-  /// They began at zero with the process.
+/// The value from which a source's counters are added up when another process
+/// starts to report them.
+enum class CounterBaseline {
+  /// Zero: the counters started with the process.
   Zero,
-  /// They go on where the last reporter's ended.
-  Known,
-  /// What they show was reported by others before; what came since the last
-  /// word of
-  /// those is taken from the new reporter's pace.
-  Now,
+  /// The last value of the previous reporter, whose counters are continued.
+  PreviousReporter,
+  /// The counters contain what others reported before. Only the growth since
+  /// the previous reporter's last report is added, estimated from the new
+  /// reporter's pace.
+  EstimatedFromPace,
 };
 
-/// What a source tells.
+/// What a source reports.
 struct ReportedUsage {
   IncarnationId Incarnation;
   std::map<TeamId, UsedUnits> Used;
-  /// Units a second of late, where the reporter knows them.
+  /// The recent growth in units per second, where the reporter knows it.
   std::map<TeamId, double> Pace;
-  CountFrom From = CountFrom::Zero;
+  CounterBaseline From = CounterBaseline::Zero;
 };
 
-/// Adds up what several sources let in, as one counter that only grows: a
-/// source that goes, or begins anew, must not make the sum fall, because those
-/// who hear the sum charge the teams with its growth.
+/// Adds up the admitted units of several sources into counters that never
+/// decrease. The receivers charge the teams for a counter's growth, so a source
+/// that disappears or restarts must not reduce it.
 class UsageAggregator {
 public:
-  /// A source has reported its counters.
-  void note(const SourceId &source, const ReportedUsage &told, Instant now);
+  /// Adds the counters that a source has reported.
+  void note(const SourceId &source, const ReportedUsage &usageReport,
+            Instant now);
   const std::map<TeamId, UsedUnits> &total() const { return Total; }
-  /// How fast the sum grew in the last second or so, in units a second; empty
-  /// before it was seen for that long.
+  /// How fast the total grew in the last second or so, in units per second;
+  /// empty until that much time has been covered.
   std::map<TeamId, double> pace(Instant now) const;
 
 private:
@@ -52,14 +53,16 @@
     std::map<TeamId, UsedUnits> Grown;
   };
 
-  static void begin(Known &known, const ReportedUsage &told, Instant now);
+  static void beginIncarnation(Known &known, const ReportedUsage &usageReport,
+                               Instant now);
   void sample(Instant now);
 
   std::map<SourceId, Known> Sources;
   std::map<TeamId, UsedUnits> Total;
-  /// The same without what sources had counted before they were first heard.
+  /// Like Total, but without what sources had counted before their first
+  /// report.
   std::map<TeamId, UsedUnits> Grown;
-  /// Of the last second or so, the oldest first.
+  /// Samples of the last second or so, oldest first.
   std::deque<Sample> Samples;
 };
 
--- a/Libraries/LibServing/UsageCounts.cpp
+++ b/Libraries/LibServing/UsageCounts.cpp
@@ -20,12 +20,12 @@
   return next;
 }
 
-static void raise(TeamCounts &known, const TeamCounts &counts) {
+static void raiseCounts(TeamCounts &known, const TeamCounts &counts) {
   for (const auto &[team, count] : counts)
     known[team] = std::max(known[team], count);
 }
 
-static void add(TeamCounts &sum, const TeamCounts &counts) {
+static void addCounts(TeamCounts &sum, const TeamCounts &counts) {
   for (const auto &[team, count] : counts)
     sum[team] += count;
 }
@@ -44,20 +44,20 @@
 
 void UsageCounts::noteHost(const ZoneId &zone, const IncarnationId &incarnation,
                            WindowNumber window, const TeamCounts &counts) {
-  raise(Windows[window].Hosts[zone][incarnation], counts);
+  raiseCounts(Windows[window].Hosts[zone][incarnation], counts);
 }
 
 void UsageCounts::noteZone(const ZoneId &zone, WindowNumber window,
                            const TeamCounts &counts) {
-  raise(Windows[window].Zones[zone], counts);
+  raiseCounts(Windows[window].Zones[zone], counts);
 }
 
 void UsageCounts::noteOwnZone(WindowNumber window, const TeamCounts &counts) {
-  raise(Windows[window].OwnZone, counts);
+  raiseCounts(Windows[window].OwnZone, counts);
 }
 
 void UsageCounts::noteOthers(WindowNumber window, const TeamCounts &counts) {
-  raise(Windows[window].Others, counts);
+  raiseCounts(Windows[window].Others, counts);
 }
 
 std::map<WindowNumber, UsageCounts::Counted>
@@ -82,8 +82,8 @@
   const auto hosts = counted.Hosts.find(Zone);
   if (hosts != counted.Hosts.end())
     for (const auto &[incarnation, counts] : hosts->second)
-      add(out, counts);
-  raise(out, counted.OwnZone);
+      addCounts(out, counts);
+  raiseCounts(out, counted.OwnZone);
   return out;
 }
 
@@ -91,14 +91,14 @@
   std::map<ZoneId, TeamCounts> zones;
   for (const auto &[zone, hosts] : counted.Hosts)
     for (const auto &[incarnation, counts] : hosts)
-      add(zones[zone], counts);
+      addCounts(zones[zone], counts);
   for (const auto &[zone, counts] : counted.Zones)
-    raise(zones[zone], counts);
+    raiseCounts(zones[zone], counts);
   zones.erase(Zone);
   TeamCounts out;
   for (const auto &[zone, counts] : zones)
-    add(out, counts);
-  raise(out, counted.Others);
+    addCounts(out, counts);
+  raiseCounts(out, counted.Others);
   return out;
 }
 
@@ -107,7 +107,7 @@
   if (it == Windows.end())
     return {};
   TeamCounts out = ownZoneOf(it->second);
-  add(out, otherZonesOf(it->second));
+  addCounts(out, otherZonesOf(it->second));
   return out;
 }
 
--- a/Libraries/LibServing/UsageCounts.h
+++ b/Libraries/LibServing/UsageCounts.h
@@ -9,58 +9,59 @@
 
 namespace sorrelbay {
 
-/// The number of a window of time since 1970.
+/// The index of a time window since 1970.
 using WindowNumber = std::int64_t;
-/// Calls that began to run, by team.
+/// The number of calls that started to run, by team.
 using TeamCounts = std::map<TeamId, std::int64_t>;
 
-/// The calls that began to run in each of the last windows, as reported by all
-/// hosts. Each process reports its own counts, which only grow; the counts of a
-/// process that has been killed stay, because the team did use them. In a large
-/// fleet other zones report sums; a sum never adds to what is known of its
-/// parts but takes their place where it is higher. Not thread-safe.
+/// The number of calls that started to run in each of the last windows, as
+/// reported by all hosts. Each process reports its own counts, which only grow;
+/// the counts of a killed process are kept, because the team did use them. In a
+/// large fleet other zones report sums; a sum is never added to the known
+/// counts of its parts but replaces them where it is higher. Not thread-safe.
 class UsageCounts {
 public:
   UsageCounts(IncarnationId self, ZoneId zone, Duration window)
       : Self(std::move(self)), Zone(std::move(zone)), Window(window) {}
 
-  /// A call began to run at that time, true time since 1970.
+  /// Counts a call that started to run at the given fleet time.
   void noteCallStarted(const TeamId &team, Instant fleetTime);
-  /// A process of that zone has reported its counts of a window.
+  /// Records the counts of a window that a process of the zone has reported.
   void noteHost(const ZoneId &zone, const IncarnationId &incarnation,
                 WindowNumber window, const TeamCounts &counts);
-  /// The sum over a whole zone, or over all zones but this host's.
+  /// Record the sum over a whole zone, and over all zones except this host's.
   void noteZone(const ZoneId &zone, WindowNumber window,
                 const TeamCounts &counts);
   void noteOthers(WindowNumber window, const TeamCounts &counts);
-  /// The sum over this host's zone, where it doesn't hear each of its hosts.
+  /// Records the sum over this host's zone, for hosts that don't receive the
+  /// reports of each of its hosts.
   void noteOwnZone(WindowNumber window, const TeamCounts &counts);
-  /// Drops windows before that one.
+  /// Drops all windows before the given one.
   void forgetBefore(WindowNumber window);
 
   WindowNumber windowAt(Instant fleetTime) const;
   Instant endOf(WindowNumber window) const;
   /// The sum over all processes.
   TeamCounts sum(WindowNumber window) const;
-  /// What this process counted, for its reports.
+  /// The counts of this process, for its reports.
   std::map<WindowNumber, TeamCounts> own() const;
   /// The sum over this host's zone, and over all others.
   std::map<WindowNumber, TeamCounts> ownZone() const;
   std::map<WindowNumber, TeamCounts> otherZones() const;
 
-  /// What is known of one window. A process that is gone tells its counts no
-  /// more, and hosts that start later never hear of it.
+  /// All counts of one window. A process that has exited no longer reports its
+  /// counts, so hosts that start later would not receive them.
   struct Counted {
     std::map<ZoneId, std::map<IncarnationId, TeamCounts>> Hosts;
     std::map<ZoneId, TeamCounts> Zones;
     TeamCounts Others;
     TeamCounts OwnZone;
   };
-  /// What is known of the windows from that one on, for those that come after
-  /// this process.
+  /// The counts of the given window and all later ones, for the processes that
+  /// come after this one.
   std::map<WindowNumber, Counted> snapshotFrom(WindowNumber window) const;
-  /// Takes over what another process knew; what is known already stays where it
-  /// is more. Sums over other zones are its own and not taken.
+  /// Merges the snapshot of another process; the higher count is kept. Its sums
+  /// over other zones are relative to its own zone and are not merged.
   void mergeSnapshot(WindowNumber window, const Counted &known);
 
 private:
@@ -73,10 +74,10 @@
   std::map<WindowNumber, Counted> Windows;
 };
 
-/// Which of the windows to report first: the one that is due next; those whose
-/// time is over already come last, since nothing is lost by their waiting.
-/// Nothing if there is none. The window and the due time are spans; the time is
-/// true time since 1970.
+/// Which of the windows to report first: the one that is due next. Overdue
+/// windows come last, since nothing is lost by their waiting. Nothing if there
+/// are no windows. `window` is the length of a window, `dueAfterEnd` the time
+/// from its end until it is due, and `fleetNow` the fleet time.
 std::optional<WindowNumber>
 mostUrgentWindow(const std::vector<WindowNumber> &windows, Duration window,
                  Duration dueAfterEnd, Instant fleetNow);
