--- a/Libraries/LibServing/FleetView.cpp
+++ b/Libraries/LibServing/FleetView.cpp
@@ -237,11 +237,11 @@
 }
 
 std::size_t FleetView::rankInGroup(const FleetMember &self, Instant now) const {
-  const bool zoned = isAggregatedByZone();
+  const bool hasZoneSums = isAggregatedByZone();
   return static_cast<std::size_t>(
       std::count_if(Known.begin(), Known.end(), [&](const auto &known) {
         const KnownMember &it = known.second;
-        const bool isOfGroup = !zoned || it.Member.Zone == Settings.Zone;
+        const bool isOfGroup = !hasZoneSums || it.Member.Zone == Settings.Zone;
         return isOfGroup && !it.Member.IsLeaving &&
                isLive(it, Settings.AggregatorTimeout, now) &&
                ranksBefore(it.Member, self);
@@ -410,19 +410,19 @@
 
 std::vector<const FleetReport *> FleetView::counted(const FleetMember &self,
                                                     Instant now) const {
-  const bool zoned = isAggregatedByZone();
-  const bool isAggregator = zoned && aggregates(self, now);
+  const bool hasZoneSums = isAggregatedByZone();
+  const bool isAggregator = hasZoneSums && aggregates(self, now);
   const bool isCollector = collects(self, now);
   const auto counts = [&](const FleetReport &it) {
     switch (it.Scope) {
     case ReportScope::Host:
-      return !zoned || (isCollector && it.Zone == Settings.Zone);
+      return !hasZoneSums || (isCollector && it.Zone == Settings.Zone);
     case ReportScope::OwnZone:
-      return zoned && !isCollector;
+      return hasZoneSums && !isCollector;
     case ReportScope::Zone:
       return isAggregator;
     case ReportScope::OtherZones:
-      return zoned && !isAggregator;
+      return hasZoneSums && !isAggregator;
     }
     return false;
   };
--- a/Tests/LibServing/FleetSimulation.cpp
+++ b/Tests/LibServing/FleetSimulation.cpp
@@ -13,14 +13,14 @@
 constexpr std::int64_t Rate = 40000;
 constexpr std::int64_t Burst = 40000;
 constexpr std::int64_t Slack = 30000;
-/// Of a large fleet's allotment, as large sites have it.
-constexpr std::int64_t ZonedSlack = 6000;
-/// What the team's callers ask for, in parts of its rate: all the time, or in
-/// storms before and while they press.
+/// The slack of a large fleet's allotment, as set at large sites.
+constexpr std::int64_t AggregatedSlack = 6000;
+/// What the team's callers request, as a multiple of its rate: throughout the
+/// run, or before and during a storm.
 constexpr double SteadyDemand = 3;
 constexpr double CalmDemand = 0.4;
-constexpr double PressingDemand = 6;
-constexpr std::int64_t MostUnits = 1500;
+constexpr double StormDemand = 6;
+constexpr std::int64_t MaxCallUnits = 1500;
 constexpr Duration AllotmentWindow = seconds(8);
 constexpr double Overshoot = 1.1;
 constexpr double RetryShare = 0.2;
@@ -28,7 +28,7 @@
 constexpr Duration RetryWindow = seconds(10);
 constexpr Duration LeaseBound = seconds(3);
 constexpr Duration UsageWindow = seconds(5);
-constexpr double UsageOff = 0.05;
+constexpr double UsageTolerance = 0.05;
 
 } // namespace
 
@@ -45,7 +45,7 @@
     Hosts.push_back(std::move(host));
   }
   for (Host &it : Hosts)
-    boot(it);
+    startProcess(it);
 }
 
 double FleetSimulation::draw() {
@@ -56,14 +56,14 @@
   return static_cast<std::size_t>(draw() * static_cast<double>(Hosts.size()));
 }
 
-void FleetSimulation::fail(const std::string &rule) {
-  if (Broken.empty())
-    Broken =
+void FleetSimulation::recordViolation(const std::string &rule) {
+  if (Violation.empty())
+    Violation =
         rule + " at " + std::to_string(toMilliseconds(Now - Start)) + " ms";
 }
 
-/// A new process: it knows nothing of before.
-void FleetSimulation::boot(Host &host) {
+/// Starts a new process without any state of the previous one.
+void FleetSimulation::startProcess(Host &host) {
   host.IsDown = false;
   host.ProcessStartedAt = Now;
   host.Sequence = 0;
@@ -83,7 +83,7 @@
       FleetTables{*host.Replicas, *host.Demand, host.RateLimiters, *host.Usage,
                   *host.Time},
       Now);
-  host.Repeats.reset();
+  host.Retries.reset();
   LeaderLeaseSettings lease;
   lease.Term = LeaseBound + seconds(1);
   lease.OrderTimeout = Duration::zero();
@@ -94,16 +94,16 @@
   host.Reach = StoreReachability();
 }
 
-bool FleetSimulation::works(const Host &host) const {
+bool FleetSimulation::isResponsive(const Host &host) const {
   return !host.IsDown && Now >= host.FrozenUntil;
 }
 
-bool FleetSimulation::reaches(const Host &from, const Host &to) const {
+bool FleetSimulation::canReach(const Host &from, const Host &to) const {
   return Now >= from.CutFromPeersUntil && Now >= to.CutFromPeersUntil;
 }
 
-/// Something goes wrong, about once in two seconds.
-void FleetSimulation::strike() {
+/// Injects a fault about once in two seconds.
+void FleetSimulation::injectFault() {
   if (!Plan.HasFaults || draw() > toSeconds(Tick) / 2)
     return;
   Host &host = Hosts[drawHost()];
@@ -113,63 +113,64 @@
   LastFaultAt = std::max(LastFaultAt, Now + span * 2);
   if (kind < 0.35) {
     host.IsDown = true;
-    host.BackAt = Now + span;
+    host.RestartAt = Now + span;
   } else if (kind < 0.55) {
     host.FrozenUntil = Now + span * 2;
   } else if (kind < 0.8) {
     host.CutFromStoreUntil = Now + span * 2;
   } else {
-    // Cut off from all others, but not from callers or the store.
+    // Disconnected from all other hosts, but not from callers or the store.
     host.CutFromPeersUntil = Now + std::min<Duration>(span, seconds(1));
   }
 }
 
-/// Callers begin to press, the store is away, and sometimes many hosts are
-/// killed at the same time.
-void FleetSimulation::brew() {
-  if (!Plan.HasStorms || draw() > toSeconds(Tick) / 12 || Now < PressUntil)
+/// The team's callers send a burst, the store is down, and sometimes many hosts
+/// are killed at the same time.
+void FleetSimulation::startStorm() {
+  if (!Plan.HasStorms || draw() > toSeconds(Tick) / 12 || Now < StormUntil)
     return;
   ++Faults;
-  PressUntil = Now + fromSeconds(4 + 8 * draw());
+  StormUntil = Now + fromSeconds(4 + 8 * draw());
   StoreAwayUntil = Now + fromSeconds(0.2 + 3 * draw() * draw());
   const double killed = draw() < 0.5 ? 0 : 0.5 * draw();
   for (Host &it : Hosts) {
     if (draw() >= killed)
       continue;
     it.IsDown = true;
-    it.BackAt = Now + fromSeconds(0.5 + 3 * draw());
+    it.RestartAt = Now + fromSeconds(0.5 + 3 * draw());
   }
 }
 
 double FleetSimulation::demand() const {
   if (!Plan.HasStorms)
     return SteadyDemand * Rate;
-  return (Now < PressUntil ? PressingDemand : CalmDemand) * Rate;
+  return (Now < StormUntil ? StormDemand : CalmDemand) * Rate;
 }
 
 void FleetSimulation::askStore(Host &host) {
-  const bool asks =
+  const bool mayAskStore =
       host.Reach.isUnreached() || host.View->aggregates(host.Member, Now);
-  if (asks)
+  if (mayAskStore)
     host.Reach.note(Now >= host.CutFromStoreUntil && Now >= StoreAwayUntil,
                     Now);
 }
 
-void FleetSimulation::post(std::size_t from, const std::vector<HostId> &to,
-                           const FleetReport &report) {
+void FleetSimulation::enqueueMessage(std::size_t from,
+                                     const std::vector<HostId> &to,
+                                     const FleetReport &report) {
   for (const HostId &it : to) {
     const auto found =
         std::find_if(Hosts.begin(), Hosts.end(),
                      [&](const Host &host) { return host.Member.Host == it; });
-    if (found == Hosts.end() || !reaches(Hosts[from], *found))
+    if (found == Hosts.end() || !canReach(Hosts[from], *found))
       continue;
     const auto index = static_cast<std::size_t>(found - Hosts.begin());
-    Waiting.push_back(
+    InFlightMessages.push_back(
         {Now + fromSeconds(0.001 + 0.03 * draw()), index, report});
   }
 }
 
-void FleetSimulation::tell(Host &host) {
+void FleetSimulation::sendReports(Host &host) {
   const auto index = static_cast<std::size_t>(&host - Hosts.data());
   askStore(host);
   host.Member.IsStoreUnreachable = host.Reach.isStoreUnreachable(Now);
@@ -189,7 +190,7 @@
   own.Members = {host.Member};
   host.ReportMerger->fillOwnReport(own, Now);
   host.View->noteOwn(own, Now);
-  post(index, host.View->reportPeers(host.Member, Now), own);
+  enqueueMessage(index, host.View->reportPeers(host.Member, Now), own);
   if (!host.View->isAggregatedByZone() ||
       !host.View->aggregates(host.Member, Now))
     return;
@@ -197,9 +198,10 @@
   FleetReport others = host.View->othersReport(own, Now);
   host.ReportMerger->fillUsage(zone);
   host.ReportMerger->fillUsage(others);
-  post(index, host.View->otherAggregators(Now), zone);
-  post(index, host.View->groupPeers(), others);
-  post(index, host.View->groupPeers(), host.View->ownZoneReport(zone));
+  enqueueMessage(index, host.View->otherAggregators(Now), zone);
+  enqueueMessage(index, host.View->groupPeers(), others);
+  enqueueMessage(index, host.View->groupPeers(),
+                 host.View->ownZoneReport(zone));
 }
 
 void FleetSimulation::deliver() {
@@ -208,28 +210,28 @@
     return it.At <= Now && Now >= Hosts[it.To].FrozenUntil;
   };
   const auto middle =
-      std::stable_partition(Waiting.begin(), Waiting.end(),
+      std::stable_partition(InFlightMessages.begin(), InFlightMessages.end(),
                             [&](const Message &it) { return !isDue(it); });
   due.assign(std::make_move_iterator(middle),
-             std::make_move_iterator(Waiting.end()));
-  Waiting.erase(middle, Waiting.end());
+             std::make_move_iterator(InFlightMessages.end()));
+  InFlightMessages.erase(middle, InFlightMessages.end());
   for (const Message &it : due) {
     Host &host = Hosts[it.To];
     FleetReport report = it.Report;
-    if (Plan.Without == FleetOmission::PeersUse)
+    if (Plan.Without == FleetOmission::PeerUsageReports)
       report.Used.clear();
     if (!host.IsDown && host.View->receive(report, Now))
       host.ReportMerger->take(report, host.Member, Now);
   }
 }
 
-/// One caller: its units, and a repeat if its first send fails.
+/// One call: its units, and a retry if the first send fails.
 void FleetSimulation::call() {
   Host &host = Hosts[drawHost()];
-  if (!works(host))
+  if (!isResponsive(host))
     return;
   const auto units =
-      static_cast<std::int64_t>(1 + draw() * static_cast<double>(MostUnits));
+      static_cast<std::int64_t>(1 + draw() * static_cast<double>(MaxCallUnits));
   ServingTeam team;
   team.Rate = Rate;
   team.Burst = Burst;
@@ -238,24 +240,25 @@
   if (!host.RateLimiters[Team].take(units, most.Rate, most.Burst, Now))
     return;
   ++Calls;
-  LetIn.emplace_back(Now, units);
-  Called.push_back(Now);
+  AdmittedUnits.emplace_back(Now, units);
+  CallTimes.push_back(Now);
   host.Usage->noteCallStarted(Team, Now);
-  ++Begun[host.Usage->windowAt(Now)];
+  ++StartedCalls[host.Usage->windowAt(Now)];
   const RetryBudgetShare part =
       retryBudgetShare(RetryShare, RetrySlack, host.View->hostCount());
-  if (!host.Repeats)
-    host.Repeats =
+  if (!host.Retries)
+    host.Retries =
         std::make_unique<RetryBudget>(part.Share, part.MaxBalance, part.Begin);
-  host.Repeats->setMaxBalance(part.MaxBalance);
-  host.Repeats->noteCall();
-  const bool mayRepeat = Plan.Without == FleetOmission::Budget ||
-                         host.Repeats->takeRetry(RetryLayer::EntryHost);
-  if (draw() < 0.6 && mayRepeat)
-    Repeated.push_back(Now);
+  host.Retries->setMaxBalance(part.MaxBalance);
+  host.Retries->noteCall();
+  const bool mayRetry = Plan.Without == FleetOmission::Budget ||
+                        host.Retries->takeRetry(RetryLayer::EntryHost);
+  if (draw() < 0.6 && mayRetry)
+    RetryTimes.push_back(Now);
 }
 
-/// The store keeps the lease; a reply may be lost after the write was done.
+/// The lease is kept in the store; a reply may be lost after the write was
+/// applied.
 void FleetSimulation::stepLease(Host &host) {
   for (const KnownMember &it : host.View->members())
     if (it.Member.LeaseRevision != 0)
@@ -290,95 +293,98 @@
     host.Lease->noteWritten(Stored.Version, Now, Now);
 }
 
-/// A holder exercises its duty.
-void FleetSimulation::act(Host &host) {
+/// The lease holder exercises its duty.
+void FleetSimulation::exerciseDuty(Host &host) {
   const bool isHeld = host.Lease->isHeld(Now);
   Holders += isHeld && !host.WasHeld ? 1 : 0;
   host.WasHeld = isHeld;
   if (!isHeld)
     return;
   const std::string self = host.Incarnation.text();
-  while (!Acts.empty() && Now - Acts.front().first > LeaseBound)
-    Acts.pop_front();
+  while (!DutyActions.empty() && Now - DutyActions.front().first > LeaseBound)
+    DutyActions.pop_front();
   bool hasOther = false;
-  for (auto it = Acts.rbegin(); it != Acts.rend(); ++it) {
+  for (auto it = DutyActions.rbegin(); it != DutyActions.rend(); ++it) {
     hasOther = hasOther || it->second != self;
     if (hasOther && it->second == self)
-      fail("ONE: two holders acted by turns");
+      recordViolation("ONE: two lease holders acted alternately");
   }
-  Acts.emplace_back(Now, self);
+  DutyActions.emplace_back(Now, self);
 }
 
 void FleetSimulation::checkWindows() {
-  while (!LetIn.empty() && Now - LetIn.front().first > AllotmentWindow)
-    LetIn.pop_front();
+  while (!AdmittedUnits.empty() &&
+         Now - AdmittedUnits.front().first > AllotmentWindow)
+    AdmittedUnits.pop_front();
   std::int64_t units = 0;
-  for (const auto &[at, it] : LetIn)
+  for (const auto &[at, it] : AdmittedUnits)
     units += it;
   const auto allowed =
       static_cast<double>(Rate) * toSeconds(AllotmentWindow) + Burst;
-  MostUsed = std::max(MostUsed, static_cast<double>(units) / allowed);
-  // The slack covers what is let in while hosts don't hear of each other.
-  const std::int64_t slack = Plan.HasStorms ? ZonedSlack : 2 * Slack;
+  MaxWindowUse = std::max(MaxWindowUse, static_cast<double>(units) / allowed);
+  // The slack covers what is admitted while hosts don't receive each other's
+  // reports.
+  const std::int64_t slack = Plan.HasStorms ? AggregatedSlack : 2 * Slack;
   if (static_cast<double>(units) >
       allowed * Overshoot + static_cast<double>(slack))
-    fail("QUOTA: " + std::to_string(units) + " units in a window");
-  while (!Called.empty() && Now - Called.front() > RetryWindow * 2)
-    Called.pop_front();
-  while (!Repeated.empty() && Now - Repeated.front() > RetryWindow)
-    Repeated.pop_front();
-  // Calls count in the window, the one before or between; a half is the least
-  // that the best of them can hold.
-  const double calls = static_cast<double>(Called.size()) / 2;
-  if (static_cast<double>(Repeated.size()) >
+    recordViolation("QUOTA: " + std::to_string(units) + " units in a window");
+  while (!CallTimes.empty() && Now - CallTimes.front() > RetryWindow * 2)
+    CallTimes.pop_front();
+  while (!RetryTimes.empty() && Now - RetryTimes.front() > RetryWindow)
+    RetryTimes.pop_front();
+  // A call may count in this window or in the previous one; the better of the
+  // two holds at least half of the calls.
+  const double calls = static_cast<double>(CallTimes.size()) / 2;
+  if (static_cast<double>(RetryTimes.size()) >
       RetryShare * calls + static_cast<double>(RetrySlack))
-    fail("BUDGET: " + std::to_string(Repeated.size()) + " repeats");
+    recordViolation("BUDGET: " + std::to_string(RetryTimes.size()) +
+                    " retries");
 }
 
-/// What a live host knows of a window whose reports have settled.
+/// Checks what the running hosts know of a window whose reports have settled.
 void FleetSimulation::checkUsage() {
   const WindowNumber window = Hosts[0].Usage->windowAt(Now) - 1;
-  const auto truth = Begun.find(window);
+  const auto truth = StartedCalls.find(window);
   const Instant end = Hosts[0].Usage->endOf(window);
-  if (truth == Begun.end() || Now < end + seconds(2))
+  if (truth == StartedCalls.end() || Now < end + seconds(2))
     return;
   const auto begun = static_cast<double>(truth->second);
   const bool isCalm = LastFaultAt < end - UsageWindow;
   for (const Host &it : Hosts) {
-    if (!works(it))
+    if (!isResponsive(it))
       continue;
     const auto known = static_cast<double>(it.Usage->sum(window)[Team]);
     if (known > begun)
-      fail("usage: a team is billed for calls that it did not make");
+      recordViolation("usage: a team is billed for calls that it did not make");
     if (isCalm && it.ProcessStartedAt < end - UsageWindow * 2 &&
-        known < begun * (1 - UsageOff))
-      fail("usage: calls are missing");
+        known < begun * (1 - UsageTolerance))
+      recordViolation("usage: calls are missing");
   }
 }
 
-std::string FleetSimulation::play(int length) {
+std::string FleetSimulation::simulate(int length) {
   const Instant end = Start + seconds(length);
   Instant reportedAt = Now;
-  for (; Now < end && Broken.empty(); Now += Tick) {
-    strike();
-    brew();
+  for (; Now < end && Violation.empty(); Now += Tick) {
+    injectFault();
+    startStorm();
     for (Host &it : Hosts)
-      if (it.IsDown && Now >= it.BackAt)
-        boot(it);
+      if (it.IsDown && Now >= it.RestartAt)
+        startProcess(it);
     deliver();
-    const double wanted = demand() / (MostUnits / 2.0) * toSeconds(Tick);
+    const double wanted = demand() / (MaxCallUnits / 2.0) * toSeconds(Tick);
     const auto callers = static_cast<int>(wanted + draw());
     for (int n = 0; n < callers; ++n)
       call();
     const bool isReport = Now - reportedAt >= ReportEvery;
     for (Host &it : Hosts) {
-      if (!works(it))
+      if (!isResponsive(it))
         continue;
-      act(it);
+      exerciseDuty(it);
       if (!isReport)
         continue;
       stepLease(it);
-      tell(it);
+      sendReports(it);
     }
     if (isReport) {
       reportedAt = Now;
@@ -386,7 +392,7 @@
       checkUsage();
     }
   }
-  return Broken;
+  return Violation;
 }
 
 } // namespace sorrelbay
--- a/Tests/LibServing/FleetSimulation.h
+++ b/Tests/LibServing/FleetSimulation.h
@@ -17,48 +17,53 @@
 
 namespace sorrelbay {
 
-/// A part of the hosts' agreement that can be left out, to see that the checks
-/// notice.
+/// A mechanism that can be disabled, to verify that the checks detect its
+/// absence.
 enum class FleetOmission {
   Nothing,
-  /// Teams are charged only with what their own host lets in.
-  PeersUse,
-  /// Calls are repeated without asking the budget.
+  /// Teams are charged only for what their own host admits.
+  PeerUsageReports,
+  /// Calls are retried without consulting the budget.
   Budget,
-  /// A holder goes on until it hears of another, whatever the time.
+  /// A lease holder continues until it sees another one, even if its lease has
+  /// expired.
   LeaseEnd,
 };
 
-/// How one random run is set up. Figures are drawn from the seed.
+/// The parameters of one random run. Values are drawn from the seed.
 struct FleetPlan {
   std::uint64_t Seed = 0;
   int Hosts = 7;
   int Zones = 4;
   FleetOmission Without = FleetOmission::Nothing;
-  /// Hosts are killed, frozen and cut off from each other or from the store.
+  /// Hosts are killed, frozen, and disconnected from each other or from the
+  /// store.
   bool HasFaults = true;
-  /// The store is away from all hosts now and then, and the team's callers come
-  /// all at once: from less than it may use to many times as much.
+  /// Now and then the store is down for all hosts, and the team's callers send
+  /// a burst: from less than the allotment to many times as much.
   bool HasStorms = false;
 };
 
 /// Several hosts with a store and a network between them, in simulated time:
-/// the decisions are the daemon's, the rest is played. Callers of one team ask
-/// for several times its allotment, calls fail and want to be repeated, and
-/// hosts race for one lease. What all hosts did together is checked.
+/// the decisions are made by the daemon's code, everything else is simulated.
+/// Callers of one team request several times its allotment, calls fail and are
+/// retried, and hosts compete for one lease. The checks apply to what all hosts
+/// did together.
 class FleetSimulation {
 public:
   explicit FleetSimulation(const FleetPlan &plan);
 
-  /// Plays so many seconds and returns the first broken rule; empty if none is.
-  std::string play(int seconds);
+  /// Runs the given number of seconds and returns the first violated rule;
+  /// empty if there is none.
+  std::string simulate(int seconds);
 
-  /// What was played, for the log.
+  /// Statistics of the run, for the log.
   int faults() const { return Faults; }
   std::int64_t calls() const { return Calls; }
   int holders() const { return Holders; }
-  /// The most that a window held, of what the allotment gives in it.
-  double mostUsed() const { return MostUsed; }
+  /// The most that was used in a window, as a fraction of what the allotment
+  /// allows there.
+  double maxWindowUse() const { return MaxWindowUse; }
 
 private:
   struct Host {
@@ -66,8 +71,8 @@
     IncarnationId Incarnation;
     Instant ProcessStartedAt{};
     bool IsDown = false;
-    Instant BackAt{};
-    /// Frozen until then: it neither works nor hears.
+    Instant RestartAt{};
+    /// Until then the host is frozen: it neither runs nor receives reports.
     Instant FrozenUntil{};
     Instant CutFromPeersUntil{};
     Instant CutFromStoreUntil{};
@@ -79,7 +84,7 @@
     std::unique_ptr<UsageCounts> Usage;
     std::unique_ptr<FleetClock> Time;
     std::unique_ptr<FleetReportMerger> ReportMerger;
-    std::unique_ptr<RetryBudget> Repeats;
+    std::unique_ptr<RetryBudget> Retries;
     std::unique_ptr<LeaderLease> Lease;
     bool WasHeld = false;
     StoreReachability Reach;
@@ -90,23 +95,23 @@
     FleetReport Report;
   };
 
-  void boot(Host &host);
-  bool works(const Host &host) const;
-  bool reaches(const Host &from, const Host &to) const;
-  void strike();
-  void brew();
-  /// Asks the store, as a host does that aggregates for others.
+  void startProcess(Host &host);
+  bool isResponsive(const Host &host) const;
+  bool canReach(const Host &from, const Host &to) const;
+  void injectFault();
+  void startStorm();
+  /// Queries the store like a host that aggregates for others.
   void askStore(Host &host);
-  /// What the team's callers ask for now, in units a second.
+  /// What the team's callers request now, in units per second.
   double demand() const;
-  void tell(Host &host);
-  void post(std::size_t from, const std::vector<HostId> &to,
-            const FleetReport &report);
+  void sendReports(Host &host);
+  void enqueueMessage(std::size_t from, const std::vector<HostId> &to,
+                      const FleetReport &report);
   void deliver();
   void call();
   void stepLease(Host &host);
-  void act(Host &host);
-  void fail(const std::string &rule);
+  void exerciseDuty(Host &host);
+  void recordViolation(const std::string &rule);
   void checkWindows();
   void checkUsage();
   double draw();
@@ -116,27 +121,27 @@
   std::mt19937_64 Random;
   std::vector<Host> Hosts;
   std::vector<FleetMember> Registered;
-  std::vector<Message> Waiting;
+  std::vector<Message> InFlightMessages;
   Instant Start{seconds(5000)};
   Instant Now;
   Instant LastFaultAt{};
   Instant StoreAwayUntil{};
-  /// The team's callers press until then.
-  Instant PressUntil{};
+  /// The storm of the team's callers lasts until then.
+  Instant StormUntil{};
   int Faults = 0;
   std::int64_t Calls = 0;
   int Holders = 0;
-  double MostUsed = 0;
-  std::string Broken;
-  /// Units let in, calls and repeats of all hosts, with their times.
-  std::deque<std::pair<Instant, std::int64_t>> LetIn;
-  std::deque<Instant> Called;
-  std::deque<Instant> Repeated;
-  std::map<WindowNumber, std::int64_t> Begun;
+  double MaxWindowUse = 0;
+  std::string Violation;
+  /// Units admitted, calls and retries of all hosts, with their times.
+  std::deque<std::pair<Instant, std::int64_t>> AdmittedUnits;
+  std::deque<Instant> CallTimes;
+  std::deque<Instant> RetryTimes;
+  std::map<WindowNumber, std::int64_t> StartedCalls;
   LeaseState Stored;
   std::uint64_t Revision = 1;
-  /// Who acted under the lease lately, and when.
-  std::deque<std::pair<Instant, std::string>> Acts;
+  /// Who recently acted under the lease, and when.
+  std::deque<std::pair<Instant, std::string>> DutyActions;
 };
 
 } // namespace sorrelbay
--- a/Tests/LibServing/TestCallRetryState.cpp
+++ b/Tests/LibServing/TestCallRetryState.cpp
@@ -11,29 +11,29 @@
 
 BOOST_AUTO_TEST_SUITE(call_life)
 
-// A booking reaches a desk, which dies before it answers. Sent again, two crews
-// drive out; called "not run", its caller books again.
+// A booking reaches a desk, which dies before it answers. If it is sent again,
+// two crews go out; if it is reported as not run, its caller books again.
 BOOST_AUTO_TEST_CASE(a_once_only_call_that_may_have_run_is_not_sent_again) {
-  CallRetryState life(Repeatability::NonIdempotent, 3, Deadline);
-  BOOST_TEST(life.canSend(Start));
-  life.recordSend();
-  BOOST_TEST(!life.canSend(Start));
-  life.recordFailure();
-  BOOST_TEST(!life.canSend(Start));
-  BOOST_TEST((life.failureKind(Start) == CallFailureKind::Unknown));
-  BOOST_TEST((life.failureKind(Deadline) == CallFailureKind::TimedOut));
+  CallRetryState retryState(Repeatability::NonIdempotent, 3, Deadline);
+  BOOST_TEST(retryState.canSend(Start));
+  retryState.recordSend();
+  BOOST_TEST(!retryState.canSend(Start));
+  retryState.recordFailure();
+  BOOST_TEST(!retryState.canSend(Start));
+  BOOST_TEST((retryState.failureKind(Start) == CallFailureKind::Unknown));
+  BOOST_TEST((retryState.failureKind(Deadline) == CallFailureKind::TimedOut));
 }
 
 BOOST_AUTO_TEST_CASE(a_call_that_was_turned_away_may_go_elsewhere) {
-  CallRetryState life(Repeatability::NonIdempotent, 2, Deadline);
-  life.recordSend();
-  life.recordNotRun();
-  BOOST_TEST((life.failureKind(Start) == CallFailureKind::NotRun));
-  BOOST_TEST(life.canSend(Start));
-  life.recordSend();
-  life.recordNotRun();
-  BOOST_TEST(!life.canSend(Start));
-  BOOST_TEST((life.failureKind(Deadline) == CallFailureKind::NotRun));
+  CallRetryState retryState(Repeatability::NonIdempotent, 2, Deadline);
+  retryState.recordSend();
+  retryState.recordNotRun();
+  BOOST_TEST((retryState.failureKind(Start) == CallFailureKind::NotRun));
+  BOOST_TEST(retryState.canSend(Start));
+  retryState.recordSend();
+  retryState.recordNotRun();
+  BOOST_TEST(!retryState.canSend(Start));
+  BOOST_TEST((retryState.failureKind(Deadline) == CallFailureKind::NotRun));
 }
 
 BOOST_AUTO_TEST_CASE(nothing_is_sent_after_the_deadline_or_the_first_byte) {
@@ -48,43 +48,44 @@
 
 BOOST_AUTO_TEST_CASE(only_what_may_be_repeated_goes_on_after_its_first_byte) {
   for (const bool mayRepeat : {true, false}) {
-    CallRetryState life(mayRepeat ? Repeatability::Idempotent
-                                  : Repeatability::NonIdempotent,
-                        2, Deadline);
-    life.recordSend();
-    life.recordResponseStarted();
-    BOOST_TEST(!life.canResume(Start));
-    life.recordFailure();
-    BOOST_TEST(life.canResume(Start) == mayRepeat);
-    BOOST_TEST(!life.canResume(Deadline));
-    BOOST_TEST(!life.canSend(Start));
+    CallRetryState retryState(mayRepeat ? Repeatability::Idempotent
+                                        : Repeatability::NonIdempotent,
+                              2, Deadline);
+    retryState.recordSend();
+    retryState.recordResponseStarted();
+    BOOST_TEST(!retryState.canResume(Start));
+    retryState.recordFailure();
+    BOOST_TEST(retryState.canResume(Start) == mayRepeat);
+    BOOST_TEST(!retryState.canResume(Deadline));
+    BOOST_TEST(!retryState.canSend(Start));
   }
 }
 
-// Seeds play every order of events; whatever happens, a once-only call is never
-// sent once it may have run, and "not run" is never said of one that may have.
-BOOST_AUTO_TEST_CASE(randomised_lives_keep_their_promises) {
+// Random event orders: a call that may run only once is never sent again once
+// it may have run, and "not run" is never reported for a call that may have
+// run.
+BOOST_AUTO_TEST_CASE(randomised_calls_keep_their_guarantees) {
   for (unsigned seed = 0; seed < 5000; ++seed) {
     std::mt19937 random(seed);
     const bool mayRepeat = random() % 2 == 0;
-    CallRetryState life(mayRepeat ? Repeatability::Idempotent
-                                  : Repeatability::NonIdempotent,
-                        1 + static_cast<int>(random() % 4), Deadline);
+    CallRetryState retryState(mayRepeat ? Repeatability::Idempotent
+                                        : Repeatability::NonIdempotent,
+                              1 + static_cast<int>(random() % 4), Deadline);
     bool mayHaveRun = false;
     for (int step = 0; step < 6; ++step) {
       const Instant now = Start + milliseconds(random() % 1200);
-      if (!life.canSend(now))
+      if (!retryState.canSend(now))
         break;
       BOOST_REQUIRE(mayRepeat || !mayHaveRun);
       BOOST_REQUIRE(now < Deadline);
-      life.recordSend();
+      retryState.recordSend();
       if (random() % 2 == 0) {
-        life.recordNotRun();
+        retryState.recordNotRun();
       } else {
-        life.recordFailure();
+        retryState.recordFailure();
         mayHaveRun = true;
       }
-      BOOST_REQUIRE((life.failureKind(now) == CallFailureKind::NotRun) ==
+      BOOST_REQUIRE((retryState.failureKind(now) == CallFailureKind::NotRun) ==
                     !mayHaveRun);
     }
   }
--- a/Tests/LibServing/TestFleetSoak.cpp
+++ b/Tests/LibServing/TestFleetSoak.cpp
@@ -20,20 +20,20 @@
   return out << size.Hosts << " hosts in " << size.Zones << " zones";
 }
 
-struct Left {
+struct OmissionCase {
   FleetOmission Out;
   const char *Rule;
   Size At;
 };
 
-const Left Omissions[] = {
-    {FleetOmission::PeersUse, "QUOTA", {7, 4}},
+const OmissionCase Omissions[] = {
+    {FleetOmission::PeerUsageReports, "QUOTA", {7, 4}},
     {FleetOmission::Budget, "BUDGET", {7, 4}},
     {FleetOmission::LeaseEnd, "ONE", {7, 4}},
 };
 
-std::ostream &operator<<(std::ostream &out, const Left &left) {
-  return out << "without what keeps " << left.Rule;
+std::ostream &operator<<(std::ostream &out, const OmissionCase &left) {
+  return out << "without the mechanism behind " << left.Rule;
 }
 
 constexpr int Seconds = 40;
@@ -42,35 +42,36 @@
 
 BOOST_AUTO_TEST_SUITE(fleet)
 
-// Hosts are killed, freeze and lose each other and the store while a team asks
-// for three times its allotment. The other teams would wait, a sick desk would
-// be asked again and again, and two hosts would bill the same window.
+// Hosts are killed, freeze, and lose their connections to each other and to the
+// store while a team requests three times its allotment. Without shared limits
+// other teams would wait, a failing desk would receive retry after retry, and
+// two hosts would bill the same window.
 BOOST_DATA_TEST_CASE(randomised_hosts_keep_the_rules_together,
                      boost::unit_test::data::make(Sizes), size) {
   const std::uint64_t seeds = soakSeeds(size.Hosts > 20 ? 1 : 6);
   std::int64_t calls = 0;
   int faults = 0;
   int holders = 0;
-  double mostUsed = 0;
+  double maxWindowUse = 0;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     FleetSimulation world({seed, size.Hosts, size.Zones});
-    const std::string broken = world.play(Seconds);
-    BOOST_TEST(broken == "", "seed " << seed << ": " << broken);
+    const std::string violation = world.simulate(Seconds);
+    BOOST_TEST(violation == "", "seed " << seed << ": " << violation);
     calls += world.calls();
     faults += world.faults();
     holders += world.holders();
-    mostUsed = std::max(mostUsed, world.mostUsed());
+    maxWindowUse = std::max(maxWindowUse, world.maxWindowUse());
   }
   BOOST_TEST_MESSAGE(size << ": " << seeds << " seeds, " << calls << " calls, "
                           << faults << " faults, " << holders << " holders, "
-                          << mostUsed << " of the allotment");
+                          << maxWindowUse << " of the allotment");
   BOOST_TEST(holders > 0);
 }
 
-/// A fleet and a seed that broke the rule once.
+/// A fleet and a seed that violated the rule before.
 struct Storm {
   Size Of;
-  std::uint64_t OnceRed;
+  std::uint64_t RegressionSeed;
 };
 
 const Storm Storms[] = {{{40, 4}, 13}, {{80, 5}, 7}};
@@ -79,26 +80,25 @@
   return out << storm.Of;
 }
 
-// The store breaks off all its watches while one team begins to send six times
-// its allotment. All hosts that aggregate for a zone fail to reach the store at
-// the same moment; were others to aggregate in their place, what zones let in
-// between the two would be charged to nobody, and the team would get more than
-// its part.
+// The store closes all watches while one team starts to send six times its
+// allotment, so all aggregators fail to reach the store at the same moment. If
+// they were replaced, what zones admit during the change would be charged to
+// nobody, and the team would exceed its allotment.
 BOOST_DATA_TEST_CASE(randomised_storms_keep_the_allotment,
                      boost::unit_test::data::make(Storms), storm) {
-  std::set<std::uint64_t> seeds{storm.OnceRed};
+  std::set<std::uint64_t> seeds{storm.RegressionSeed};
   for (std::uint64_t seed = 1; seed <= soakSeeds(2); ++seed)
     seeds.insert(seed);
-  double mostUsed = 0;
+  double maxWindowUse = 0;
   for (const std::uint64_t seed : seeds) {
     FleetPlan plan{seed, storm.Of.Hosts, storm.Of.Zones};
     plan.HasStorms = true;
     FleetSimulation world(plan);
-    const std::string broken = world.play(Seconds);
-    BOOST_TEST(broken == "", "seed " << seed << ": " << broken);
-    mostUsed = std::max(mostUsed, world.mostUsed());
+    const std::string violation = world.simulate(Seconds);
+    BOOST_TEST(violation == "", "seed " << seed << ": " << violation);
+    maxWindowUse = std::max(maxWindowUse, world.maxWindowUse());
   }
-  BOOST_TEST_MESSAGE(storm << ": " << seeds.size() << " seeds, " << mostUsed
+  BOOST_TEST_MESSAGE(storm << ": " << seeds.size() << " seeds, " << maxWindowUse
                            << " of the allotment");
 }
 
@@ -107,7 +107,7 @@
   bool isNoticed = false;
   for (std::uint64_t seed = 1; seed <= 40 && !isNoticed; ++seed) {
     FleetSimulation world({seed, left.At.Hosts, left.At.Zones, left.Out});
-    isNoticed = world.play(Seconds).find(left.Rule) == 0;
+    isNoticed = world.simulate(Seconds).find(left.Rule) == 0;
   }
   BOOST_TEST(isNoticed);
 }
--- a/Tests/LibServing/TestFleetView.cpp
+++ b/Tests/LibServing/TestFleetView.cpp
@@ -8,8 +8,8 @@
 
 constexpr Duration Round = milliseconds(250);
 
-/// Hosts "h00" to "hNN" in zones "z0", "z1" ..., that tell each other what
-/// their views say they should, without a network.
+/// Hosts "h00" to "hNN" in zones "z0", "z1" and so on, which exchange reports
+/// as their views direct, without a network.
 struct Fleet {
   Instant Now{seconds(1000)};
   Fleet(int hosts, int zones) {
@@ -29,7 +29,7 @@
     Work.resize(Members.size());
     Levels.resize(Members.size());
     IsDown.resize(Members.size());
-    Heard.resize(Members.size());
+    ReceivedMessages.resize(Members.size());
   }
 
   std::size_t indexOf(const HostId &host) const {
@@ -52,10 +52,11 @@
     return own;
   }
 
-  void tell(const std::vector<HostId> &hosts, const FleetReport &report) {
+  void deliverReport(const std::vector<HostId> &hosts,
+                     const FleetReport &report) {
     for (const HostId &it : hosts) {
       ++Messages;
-      ++Heard[indexOf(it)];
+      ++ReceivedMessages[indexOf(it)];
       if (!IsDown[indexOf(it)])
         Views[indexOf(it)].receive(report, Now);
     }
@@ -71,13 +72,13 @@
       view.removeSilent(Now);
       const FleetReport own = ownReport(n);
       view.noteOwn(own, Now);
-      tell(view.reportPeers(Members[n], Now), own);
+      deliverReport(view.reportPeers(Members[n], Now), own);
       if (!view.isAggregatedByZone() || !view.aggregates(Members[n], Now))
         continue;
       const FleetReport zone = view.zoneReport(own, Now);
-      tell(view.otherAggregators(Now), zone);
-      tell(view.groupPeers(), view.othersReport(own, Now));
-      tell(view.groupPeers(), view.ownZoneReport(zone));
+      deliverReport(view.otherAggregators(Now), zone);
+      deliverReport(view.groupPeers(), view.othersReport(own, Now));
+      deliverReport(view.groupPeers(), view.ownZoneReport(zone));
     }
   }
 
@@ -86,7 +87,7 @@
       round();
   }
 
-  /// Calls that the host believes the others have open at "u".
+  /// The number of calls that the host believes the others have open at "u".
   int othersWork(std::size_t n) const {
     int calls = 0;
     for (const FleetReport *it : Views[n].counted(Members[n], Now)) {
@@ -120,15 +121,15 @@
   std::vector<bool> IsDown;
   std::uint64_t Sequence = 0;
   int Messages = 0;
-  /// Messages that each host was sent.
-  std::vector<int> Heard;
+  /// The number of messages sent to each host.
+  std::vector<int> ReceivedMessages;
 };
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(fleet_view)
 
-BOOST_AUTO_TEST_CASE(few_hosts_all_tell_all) {
+BOOST_AUTO_TEST_CASE(hosts_of_a_small_fleet_report_to_all) {
   Fleet fleet(7, 4);
   fleet.Work.assign(7, 3);
   fleet.rounds(4);
@@ -140,9 +141,9 @@
   BOOST_TEST(fleet.aggregators() == 1);
 }
 
-// Each host of a large fleet must still know what all others have open, or it
-// sends its calls behind theirs. Were each to tell all, messages would grow by
-// the square of the hosts and fill their links.
+// A host that doesn't know what all others have open sends its calls to
+// upstreams that are already busy. If each host reported to all, messages would
+// grow with the square of the hosts and fill their links.
 BOOST_AUTO_TEST_CASE(many_hosts_know_all_work_by_few_messages) {
   Fleet fleet(80, 4);
   for (std::size_t n = 0; n < 80; ++n)
@@ -159,27 +160,27 @@
   BOOST_TEST(fleet.Messages < 80 * 79 / 3);
 }
 
-// What a small host hears grows with its zone: its processor time goes into
-// reports, and it is late for its callers.
+// If the reports that a small host receives grow with its zone, its processor
+// time goes into reports and its callers are served late.
 BOOST_AUTO_TEST_CASE(a_small_host_hears_as_much_in_a_large_zone) {
-  int heard[2] = {};
+  int receivedMessages[2] = {};
   int n = 0;
   for (const int hosts : {90, 360}) {
     Fleet fleet(hosts, 6);
     fleet.Work.assign(static_cast<std::size_t>(hosts), 1);
     fleet.rounds(12);
-    fleet.Heard.assign(fleet.Heard.size(), 0);
+    fleet.ReceivedMessages.assign(fleet.ReceivedMessages.size(), 0);
     fleet.rounds(4);
     const auto last = static_cast<std::size_t>(hosts - 1);
-    heard[n++] = fleet.Heard[last];
+    receivedMessages[n++] = fleet.ReceivedMessages[last];
     BOOST_TEST(fleet.othersWork(last) == hosts - 1);
   }
-  BOOST_TEST(heard[0] <= 4 * 6);
-  BOOST_TEST(heard[1] == heard[0]);
+  BOOST_TEST(receivedMessages[0] <= 4 * 6);
+  BOOST_TEST(receivedMessages[1] == receivedMessages[0]);
 }
 
-// All hosts of a zone that hear the others lose power at once. The rest hears
-// no sum any more and would go on by what it knew for as long.
+// All collectors of a zone lose power at once. The other hosts would receive no
+// sum any more and continue with outdated state.
 BOOST_AUTO_TEST_CASE(others_collect_when_all_collectors_are_silent) {
   Fleet fleet(180, 6);
   fleet.Work.assign(180, 2);
@@ -194,8 +195,9 @@
   }
 }
 
-// One host asks the store for all zones. Were it one a zone, calls to the store
-// would grow with the zones; were it none, nobody would hear of a change.
+// One host queries the store for all zones. With one per zone, requests to the
+// store would grow with the number of zones; with none, no host would notice a
+// change.
 BOOST_AUTO_TEST_CASE(one_host_leads_all_zones) {
   Fleet fleet(180, 6);
   fleet.rounds(12);
@@ -204,15 +206,15 @@
   fleet.IsDown[0] = true;
   fleet.rounds(12);
   BOOST_TEST(fleet.leaders() == 1);
-  // One that doesn't reach the store leads no more.
+  // A host that can't reach the store stops leading.
   fleet.Members[1].IsStoreUnreachable = true;
   fleet.rounds(12);
   BOOST_TEST(fleet.leaders() == 1);
   BOOST_TEST(!fleet.Views[1].leads(fleet.Members[1], fleet.Now));
 }
 
-// A holder of the duties that hears its zone as a sum reports the usage of the
-// whole fleet, and an aggregator that begins knows what the one before it did.
+// A duty holder that receives its zone only as a sum must report the usage of
+// the whole fleet, and a new aggregator must know what the previous one did.
 BOOST_AUTO_TEST_CASE(a_sum_over_the_own_zone_counts_once_in_the_usage) {
   const TeamId team("t");
   UsageCounts usage(IncarnationId("me"), ZoneId("z0"), seconds(5));
@@ -225,28 +227,29 @@
   BOOST_TEST(usage.sum(7).at(team) == 131);
 }
 
-// All hosts start together and read who has registered before any link is up.
-// Each would take itself for the first, ask the store for all and reach for the
-// duties.
-BOOST_AUTO_TEST_CASE(a_host_that_has_heard_nobody_yet_does_not_lead) {
+// All hosts start together and read the registered hosts before any link is up.
+// Each would rank itself first, query the store for all zones and try to take
+// the duties.
+BOOST_AUTO_TEST_CASE(a_host_without_reports_from_peers_does_not_lead) {
   Fleet fleet(180, 6);
   fleet.Now += seconds(1);
   BOOST_TEST(fleet.leaders() == 0);
   fleet.rounds(4);
   BOOST_TEST(fleet.leaders() == 1);
-  // One that stays alone leads in the end.
-  Fleet lonely(180, 6);
-  lonely.Now += seconds(4);
-  BOOST_TEST(lonely.Views[100].leads(lonely.Members[100], lonely.Now));
-  FleetView only({HostId("h"), ZoneId("z"), fleet.Now - seconds(1)});
+  // A host that stays alone leads after a while.
+  Fleet isolated(180, 6);
+  isolated.Now += seconds(4);
+  BOOST_TEST(isolated.Views[100].leads(isolated.Members[100], isolated.Now));
+  FleetView singleHostView({HostId("h"), ZoneId("z"), fleet.Now - seconds(1)});
   FleetMember self;
   self.Host = HostId("h");
   self.Zone = ZoneId("z");
-  BOOST_TEST(only.leads(self, fleet.Now));
+  BOOST_TEST(singleHostView.leads(self, fleet.Now));
 }
 
-// A host was cut off, charged teams with all that it had missed, and is the
-// first of its zone again. Its zone would believe it, and refuse the teams.
+// A host was disconnected, charged teams with everything that it had missed,
+// and is its zone's aggregator again. If its zone adopted its levels, all hosts
+// would refuse the teams.
 BOOST_AUTO_TEST_CASE(an_aggregator_that_is_wrong_moves_no_level) {
   Fleet fleet(90, 3);
   const TeamId team("t");
@@ -260,8 +263,9 @@
       BOOST_TEST(it->Levels.at(team) == 1000);
 }
 
-// One of two hundred hosts is gone for good. Were the usage of a window to wait
-// for it, a holder that is killed meanwhile would leave it unreported.
+// One of two hundred hosts is gone for good. If the usage of a window had to
+// wait for it, a duty holder that is killed in the meantime would leave the
+// window unreported.
 BOOST_AUTO_TEST_CASE(few_silent_hosts_are_a_small_part) {
   Fleet fleet(180, 6);
   fleet.rounds(12);
@@ -273,8 +277,8 @@
   BOOST_TEST(fleet.Views[0].silentFraction(fleet.Now) < 0.012);
 }
 
-// An aggregator loses power. Its zone's hosts would stay unknown to the others,
-// and the others to them.
+// An aggregator loses power. If no other host took over, its zone's hosts and
+// the hosts of other zones would not know each other.
 BOOST_AUTO_TEST_CASE(another_host_aggregates_when_an_aggregator_is_silent) {
   Fleet fleet(80, 4);
   fleet.Work.assign(80, 2);
@@ -286,15 +290,15 @@
     BOOST_TEST(fleet.othersWork(n) <= 79 * 2);
   }
   BOOST_TEST(fleet.aggregators() == 4);
-  // No caller is sent to it.
+  // Callers are not sent to the failed host.
   for (std::size_t n = 1; n < 80; ++n)
     for (const KnownMember &it : fleet.Views[n].members())
       if (it.Member.Host == fleet.Members[0].Host)
         BOOST_TEST(!fleet.Views[n].isAnswering(it, fleet.Now));
 }
 
-// A host that can't reach the store would pass on nothing, and all that wait
-// for its news would go on by what they knew.
+// A host that can't reach the store forwards no updates, and all hosts that
+// depend on it would continue with outdated state.
 BOOST_AUTO_TEST_CASE(a_host_that_is_cut_off_does_not_aggregate) {
   Fleet fleet(7, 1);
   fleet.rounds(4);
@@ -305,9 +309,8 @@
   BOOST_TEST(fleet.Views[1].aggregates(fleet.Members[1], fleet.Now));
 }
 
-// The store is away, and with it all hosts are cut off. Were none of them to
-// aggregate, each zone would know of its own calls only and give out the whole
-// of a team's allotment.
+// The store is down and no host can reach it. If none of them aggregated, each
+// zone would know only its own calls and grant the whole of a team's allotment.
 BOOST_AUTO_TEST_CASE(one_aggregates_although_all_are_cut_off) {
   Fleet fleet(80, 4);
   fleet.Work.assign(80, 2);
@@ -319,8 +322,8 @@
     BOOST_TEST(fleet.othersWork(n) == 79 * 2);
 }
 
-// The holder of the duties loses its way to the store, not to its peers. While
-// they leave the lease alone for its sake, a window of usage goes unreported.
+// The duty holder loses its connection to the store but not to its peers. If
+// they kept leaving the lease to it, a window of usage would go unreported.
 BOOST_AUTO_TEST_CASE(a_holder_that_is_cut_off_is_not_waited_for) {
   Fleet fleet(7, 4);
   fleet.Members[2].HoldsDuties = true;
@@ -332,7 +335,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(
-    a_second_aggregator_is_not_believed_while_the_first_aggregates) {
+    a_second_aggregator_is_ignored_while_the_first_aggregates) {
   FleetView view({HostId("h"), ZoneId("z0")});
   FleetReport sum;
   sum.Scope = ReportScope::Zone;
@@ -348,9 +351,10 @@
   BOOST_TEST(view.receive(second, now + milliseconds(900)));
 }
 
-// The host that aggregates for a zone loses the store and finds it again. Other
-// zones hear of that late; until then the leader told its news to hosts that no
-// longer passed them on, and calls reached upstreams that had long left.
+// A zone's aggregator loses its connection to the store and regains it, and
+// other zones learn of that late. Until then the leader sent its updates to
+// hosts that no longer forwarded them, and calls reached upstreams that had
+// long left.
 BOOST_AUTO_TEST_CASE(news_reaches_a_host_that_aggregates_again) {
   Fleet fleet(24, 3);
   for (int n = 0; n < 12; ++n)
@@ -362,66 +366,100 @@
   fleet.Members[0].IsStoreUnreachable = false;
   BOOST_REQUIRE(fleet.Views[0].aggregates(fleet.Members[0], fleet.Now));
   BOOST_REQUIRE(fleet.Views[1].leads(fleet.Members[1], fleet.Now));
-  const auto told = fleet.Views[1].otherAggregators(fleet.Now);
-  BOOST_TEST(std::count(told.begin(), told.end(), HostId("h00")) == 1);
+  const auto reportTargets = fleet.Views[1].otherAggregators(fleet.Now);
+  BOOST_TEST(std::count(reportTargets.begin(), reportTargets.end(),
+                        HostId("h00")) == 1);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 BOOST_AUTO_TEST_SUITE(used_sum)
 
-// A host of a zone is killed and comes back. A sum that fell would look like
-// units given back, and one that began anew would charge the team twice.
+// A host of a zone is killed and restarts. A sum that decreased would look like
+// returned units, and a sum that started again from zero would charge the team
+// twice.
 BOOST_AUTO_TEST_CASE(a_sum_never_falls_and_counts_nothing_twice) {
   UsageAggregator sum;
   const TeamId team("t");
   const SourceId host("a");
   const Instant now{seconds(10)};
-  sum.note(host, {IncarnationId("1"), {{team, 500}}, {}, CountFrom::Zero}, now);
+  sum.note(host, {IncarnationId("1"), {{team, 500}}, {}, CounterBaseline::Zero},
+           now);
   BOOST_TEST(sum.total().at(team) == 500);
-  sum.note(host, {IncarnationId("1"), {{team, 600}}, {}, CountFrom::Zero}, now);
+  sum.note(host, {IncarnationId("1"), {{team, 600}}, {}, CounterBaseline::Zero},
+           now);
   BOOST_TEST(sum.total().at(team) == 600);
-  sum.note(host, {IncarnationId("2"), {{team, 30}}, {}, CountFrom::Zero}, now);
+  sum.note(host, {IncarnationId("2"), {{team, 30}}, {}, CounterBaseline::Zero},
+           now);
   BOOST_TEST(sum.total().at(team) == 630);
-  sum.note(host, {IncarnationId("2"), {}, {}, CountFrom::Zero}, now);
+  sum.note(host, {IncarnationId("2"), {}, {}, CounterBaseline::Zero}, now);
   BOOST_TEST(sum.total().at(team) == 630);
   const SourceId zone("z");
-  sum.note(zone, {IncarnationId("1"), {{team, 100}}, {}, CountFrom::Known},
+  sum.note(zone,
+           {IncarnationId("1"),
+            {{team, 100}},
+            {},
+            CounterBaseline::PreviousReporter},
            now);
-  sum.note(zone, {IncarnationId("2"), {{team, 120}}, {}, CountFrom::Known},
+  sum.note(zone,
+           {IncarnationId("2"),
+            {{team, 120}},
+            {},
+            CounterBaseline::PreviousReporter},
            now);
   BOOST_TEST(sum.total().at(team) == 750);
-  sum.note(zone, {IncarnationId("3"), {{team, 9000}}, {}, CountFrom::Now}, now);
-  sum.note(zone, {IncarnationId("3"), {{team, 9010}}, {}, CountFrom::Now}, now);
+  sum.note(zone,
+           {IncarnationId("3"),
+            {{team, 9000}},
+            {},
+            CounterBaseline::EstimatedFromPace},
+           now);
+  sum.note(zone,
+           {IncarnationId("3"),
+            {{team, 9010}},
+            {},
+            CounterBaseline::EstimatedFromPace},
+           now);
   BOOST_TEST(sum.total().at(team) == 760);
 }
 
-// The host that aggregates for a zone is killed while a team begins to send six
-// times as much. What the zone let in until another spoke would be charged to
+// A zone's aggregator is killed while a team starts to send six times as much.
+// What the zone admits until the next aggregator reports would be charged to
 // nobody.
 BOOST_AUTO_TEST_CASE(what_came_between_two_aggregators_is_counted_by_the_pace) {
   UsageAggregator sum;
   const TeamId team("t");
   const SourceId zone("z");
   Instant now{seconds(10)};
-  sum.note(zone, {IncarnationId("1"), {{team, 100}}, {}, CountFrom::Now}, now);
+  sum.note(zone,
+           {IncarnationId("1"),
+            {{team, 100}},
+            {},
+            CounterBaseline::EstimatedFromPace},
+           now);
   now += milliseconds(800);
-  // The new one has counted since long before, and knows the last second.
-  sum.note(
-      zone,
-      {IncarnationId("2"), {{team, 70000}}, {{team, 500.0}}, CountFrom::Now},
-      now);
+  // The new aggregator started to count long before, and knows the growth of
+  // the last second.
+  sum.note(zone,
+           {IncarnationId("2"),
+            {{team, 70000}},
+            {{team, 500.0}},
+            CounterBaseline::EstimatedFromPace},
+           now);
   BOOST_TEST(sum.total().at(team) == 400);
-  // Much later only as much as a few seconds hold is believed.
+  // After a long gap only a few seconds' growth is added.
   now += minutes(5);
   sum.note(zone,
-           {IncarnationId("3"), {{team, 10}}, {{team, 500.0}}, CountFrom::Now},
+           {IncarnationId("3"),
+            {{team, 10}},
+            {{team, 500.0}},
+            CounterBaseline::EstimatedFromPace},
            now);
   BOOST_TEST(sum.total().at(team) == 400 + 2500);
 }
 
-// A new aggregator hears of hosts that have been there for minutes. Their whole
-// lives' calls are no pace.
-BOOST_AUTO_TEST_CASE(the_pace_holds_only_what_was_seen_to_come) {
+// A new aggregator receives the first reports of hosts that have been running
+// for minutes. The calls of their whole lifetime must not count as pace.
+BOOST_AUTO_TEST_CASE(the_pace_covers_only_observed_growth) {
   UsageAggregator sum;
   const TeamId team("t");
   const SourceId host("a");
@@ -435,22 +473,24 @@
   BOOST_TEST(pace < 110);
 }
 
-// An aggregator was cut off from its zone for twelve seconds. Told as its pace,
-// what its hosts let in meanwhile would be charged to the teams again.
-BOOST_AUTO_TEST_CASE(what_comes_after_a_silence_is_no_pace) {
+// An aggregator was disconnected from its zone for twelve seconds. If what its
+// hosts admitted in that time counted as pace, it would be charged to the teams
+// again.
+BOOST_AUTO_TEST_CASE(growth_after_a_silence_does_not_count_as_pace) {
   UsageAggregator sum;
   const TeamId team("t");
-  const auto tell = [&](int host, UsedUnits used, Instant now) {
+  const auto deliverReport = [&](int host, UsedUnits used, Instant now) {
     sum.note(SourceId("host " + std::to_string(host)),
              {IncarnationId("1"), {{team, used}}, {}}, now);
   };
   Instant now{seconds(10)};
   for (int host = 0; host < 10; ++host)
-    tell(host, 100, now);
-  // Twelve seconds at 100 units a second each; they are heard again by and by.
+    deliverReport(host, 100, now);
+  // Twelve seconds at 100 units per second each; the reports arrive one after
+  // the other.
   now += seconds(12);
   for (int host = 0; host < 10; ++host, now += milliseconds(200))
-    tell(host, 1300, now);
+    deliverReport(host, 1300, now);
   BOOST_TEST(sum.total().at(team) == 13000);
   BOOST_TEST(sum.pace(now).at(team) < 1500);
 }
--- a/Tests/LibServing/TestSmallParts.cpp
+++ b/Tests/LibServing/TestSmallParts.cpp
@@ -9,8 +9,9 @@
 
 BOOST_AUTO_TEST_SUITE(event_splitter)
 
-// An engine dies in the middle of an event. Passed on at once, the caller would
-// get that event's beginning and then, from the next engine, the whole event.
+// An engine dies in the middle of an event. If the partial event were
+// forwarded, the caller would receive it and then the whole event from the next
+// engine.
 BOOST_AUTO_TEST_CASE(only_whole_events_are_passed_on) {
   const std::string stream = "id: 1\ndata: a\n\nid:2\ndata: b\n\nid: 3\ndata";
   for (std::size_t cut = 0; cut <= stream.size(); ++cut) {
@@ -28,9 +29,9 @@
 BOOST_AUTO_TEST_SUITE_END()
 BOOST_AUTO_TEST_SUITE(usage_order)
 
-// A new holder of the duty finds four windows open, one of them long overdue.
-// Taken in order, the overdue one held up one that could still be in time
-// (the operators' incident inc-ead2).
+// A new duty holder finds four unreported windows, one of them long overdue. In
+// plain order the overdue window delayed one that could still be reported in
+// time.
 BOOST_AUTO_TEST_CASE(windows_that_can_still_be_in_time_go_first) {
   const auto next = [](const std::vector<WindowNumber> &windows, int now) {
     return mostUrgentWindow(windows, seconds(5), seconds(10),
@@ -47,16 +48,16 @@
 BOOST_AUTO_TEST_SUITE_END()
 BOOST_AUTO_TEST_SUITE(true_time)
 
-// One host's wall clock was two seconds off when its process started; its usage
+// One host's wall clock was two seconds off when its process started. Its usage
 // windows would end early and bill the wrong ones.
 BOOST_AUTO_TEST_CASE(a_host_whose_clock_is_off_is_outvoted) {
   const Instant boot{seconds(50)};
-  FleetClock time(Instant(seconds(1002)), boot);
-  BOOST_TEST((time.at(boot) == Instant(seconds(1002))));
-  time.notePeer(SourceId("a"), Instant(seconds(1000)), boot);
-  time.notePeer(SourceId("b"), Instant(seconds(1000)), boot);
-  BOOST_TEST((time.at(boot + seconds(5)) == Instant(seconds(1005))));
-  BOOST_TEST((time.own(boot) == Instant(seconds(1002))));
+  FleetClock fleetClock(Instant(seconds(1002)), boot);
+  BOOST_TEST((fleetClock.at(boot) == Instant(seconds(1002))));
+  fleetClock.notePeer(SourceId("a"), Instant(seconds(1000)), boot);
+  fleetClock.notePeer(SourceId("b"), Instant(seconds(1000)), boot);
+  BOOST_TEST((fleetClock.at(boot + seconds(5)) == Instant(seconds(1005))));
+  BOOST_TEST((fleetClock.own(boot) == Instant(seconds(1002))));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
@@ -72,7 +73,7 @@
   usage.noteCallStarted(team, at);
   usage.noteHost(ZoneId("z"), IncarnationId("peer"), window, {{team, 5}});
   usage.noteHost(ZoneId("z"), IncarnationId("peer"), window, {{team, 3}});
-  // The process that was killed did serve its calls.
+  // The killed process did serve its calls.
   usage.noteHost(ZoneId("z"), IncarnationId("peer again"), window, {{team, 1}});
   BOOST_TEST(usage.sum(window)[team] == 7);
   BOOST_TEST(usage.own()[window][team] == 1);
@@ -80,8 +81,9 @@
   BOOST_TEST(usage.sum(window).empty());
 }
 
-// A large fleet's hosts hear of other zones by sums, and the host that tells
-// them changes: counted twice, a team would be billed for calls it never made.
+// In a large fleet hosts receive other zones as sums, and the reporter of a sum
+// changes. If it were counted twice, a team would be billed for calls that it
+// never made.
 BOOST_AUTO_TEST_CASE(sums_of_zones_and_of_their_hosts_are_not_added_up) {
   UsageCounts usage(IncarnationId("self"), ZoneId("z"), seconds(5));
   const TeamId team("t");
@@ -97,7 +99,7 @@
   BOOST_TEST(usage.otherZones()[0][team] == 130);
   usage.noteOthers(0, {{team, 131}});
   BOOST_TEST(usage.sum(0)[team] == 134);
-  // What the own zone's hosts say comes back in no other sum.
+  // A sum over the own zone that comes back from elsewhere is ignored.
   usage.noteZone(ZoneId("z"), 0, {{team, 50}});
   BOOST_TEST(usage.sum(0)[team] == 134);
 }
@@ -106,30 +108,30 @@
 
 BOOST_AUTO_TEST_SUITE(store_reach)
 
-// The store breaks all watches off for a moment. If each host that asks it said
-// at once that it is cut off, all hosts that aggregate for others would change
-// at the same time.
-BOOST_AUTO_TEST_CASE(a_moment_without_the_store_is_not_being_cut_off) {
-  StoreReachability reach;
+// The store closes all watches for a moment. If each host that queries it
+// reported at once that it can't reach the store, all aggregators would be
+// replaced at the same time.
+BOOST_AUTO_TEST_CASE(a_short_store_outage_is_not_reported) {
+  StoreReachability storeReachability;
   Instant now{seconds(10)};
-  BOOST_TEST(!reach.isUnreached());
-  reach.note(false, now);
-  BOOST_TEST(reach.isUnreached());
-  BOOST_TEST(!reach.isStoreUnreachable(now + milliseconds(600)));
-  reach.note(true, now += milliseconds(600));
-  reach.note(false, now += milliseconds(600));
-  BOOST_TEST(!reach.isStoreUnreachable(now));
-  reach.note(false, now + milliseconds(900));
-  BOOST_TEST(reach.isStoreUnreachable(now + seconds(1)));
-  reach.note(true, now + seconds(2));
-  BOOST_TEST(!reach.isStoreUnreachable(now + seconds(2)));
+  BOOST_TEST(!storeReachability.isUnreached());
+  storeReachability.note(false, now);
+  BOOST_TEST(storeReachability.isUnreached());
+  BOOST_TEST(!storeReachability.isStoreUnreachable(now + milliseconds(600)));
+  storeReachability.note(true, now += milliseconds(600));
+  storeReachability.note(false, now += milliseconds(600));
+  BOOST_TEST(!storeReachability.isStoreUnreachable(now));
+  storeReachability.note(false, now + milliseconds(900));
+  BOOST_TEST(storeReachability.isStoreUnreachable(now + seconds(1)));
+  storeReachability.note(true, now + seconds(2));
+  BOOST_TEST(!storeReachability.isStoreUnreachable(now + seconds(2)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 BOOST_AUTO_TEST_SUITE(allotment)
 
-// Zones that are told as sums hear of each other later, so that more is let in
-// before they do; a part of the allotment covers it.
+// Zones that report sums receive each other's usage later, so more is admitted
+// in the meantime; the part of the allotment that is held back covers it.
 BOOST_AUTO_TEST_CASE(a_large_fleet_keeps_a_part_back) {
   ServingTeam team;
   team.Rate = 1000;
@@ -139,9 +141,9 @@
   BOOST_TEST((allotmentFor(team, true, bounds) == Allotment{940, 470}));
 }
 
-// A team with a low rate and a high burst asks for a bit more than its rate all
-// day. Its burst is gone after the first seconds, and from then on it would be
-// turned away although no window holds what it may use.
+// A team with a low rate and a high burst constantly requests slightly more
+// than its rate. Its burst is exhausted within seconds, and from then on it
+// would be refused although no window contains as much as it may use.
 BOOST_AUTO_TEST_CASE(a_part_of_the_burst_comes_in_with_every_window) {
   ServingTeam team;
   team.Rate = 1000;
@@ -149,8 +151,9 @@
   const Allotment given = allotmentFor(team, false, {0, seconds(8)});
   BOOST_TEST((given == Allotment{1250, 2000}));
   BOOST_TEST(given.Rate * 8 + given.Burst == team.Rate * 8 + team.Burst);
-  const Allotment ofLarge = allotmentFor(team, true, {0, seconds(8)});
-  BOOST_TEST((ofLarge == Allotment{1175, 1880}));
+  const Allotment aggregatedAllotment =
+      allotmentFor(team, true, {0, seconds(8)});
+  BOOST_TEST((aggregatedAllotment == Allotment{1175, 1880}));
 }
 
 BOOST_AUTO_TEST_CASE(no_limit_stays_none_and_a_small_one_one) {
--- a/Tests/LibServing/TestStopPolicy.cpp
+++ b/Tests/LibServing/TestStopPolicy.cpp
@@ -10,13 +10,13 @@
 struct StopCase {
   int SinceStopMs;
   int GraceMs;
-  int PatienceMs;
-  bool IsTaken;
+  int WaitLimitMs;
+  bool IsCallAccepted;
 };
 
 std::ostream &operator<<(std::ostream &out, const StopCase &it) {
-  return out << it.SinceStopMs << " of " << it.GraceMs << " ms, patience "
-             << it.PatienceMs;
+  return out << it.SinceStopMs << " of " << it.GraceMs << " ms, wait limit "
+             << it.WaitLimitMs;
 }
 
 const StopCase Cases[] = {
@@ -27,13 +27,12 @@
 
 } // namespace
 
-// A caller keeps the address of a host that stops, and sends it a chat five
-// seconds after the stop began. The chat goes on for longer than the grace: it
-// was cut in its middle, and the user saw half an answer (seen in a hunt,
-// trouble-2 with seed 103381953111).
+// A caller keeps the address of a host that is shutting down and sends it a
+// chat five seconds after the stop. The chat outlasts the grace period, so it
+// was cut off and the user got an incomplete answer.
 BOOST_DATA_TEST_CASE(late_calls_are_taken_only_if_they_end_in_time,
                      boost::unit_test::data::make(Cases), it) {
   BOOST_TEST(acceptsCallWhileStopping(
                  milliseconds(it.SinceStopMs), milliseconds(it.GraceMs),
-                 milliseconds(it.PatienceMs)) == it.IsTaken);
+                 milliseconds(it.WaitLimitMs)) == it.IsCallAccepted);
 }
--- a/Tests/LibServing/TestTeamRateLimiter.cpp
+++ b/Tests/LibServing/TestTeamRateLimiter.cpp
@@ -10,11 +10,11 @@
 constexpr std::int64_t Burst = 2000;
 constexpr std::int64_t CallUnits = 50;
 
-/// Hosts that let one team's calls in and tell each other what they used.
+/// Hosts that admit one team's calls and report to each other what was used.
 struct Fleet {
   explicit Fleet(int hosts) : RateLimiters(static_cast<std::size_t>(hosts)) {}
 
-  void tellAll(Instant now) {
+  void exchangeReports(Instant now) {
     for (std::size_t from = 0; from < RateLimiters.size(); ++from)
       for (std::size_t to = 0; to < RateLimiters.size(); ++to)
         if (from != to)
@@ -24,19 +24,19 @@
               now);
   }
 
-  /// Offers that many units a second in all, by turns, and returns what was let
-  /// in.
+  /// Offers the given units per second in total, to the hosts in turn, and
+  /// returns what was admitted.
   std::int64_t offer(double unitsPerSecond, Duration span, Duration report) {
     std::int64_t taken = 0;
     const Duration gap =
         fromSeconds(static_cast<double>(CallUnits) / unitsPerSecond);
     Instant now{seconds(100)};
     const Instant end = now + span;
-    Instant told = now;
+    Instant lastExchange = now;
     for (std::size_t turn = 0; now < end; now += gap, ++turn) {
-      if (now - told >= report) {
-        tellAll(now);
-        told = now;
+      if (now - lastExchange >= report) {
+        exchangeReports(now);
+        lastExchange = now;
       }
       if (RateLimiters[turn % RateLimiters.size()].take(CallUnits, Rate, Burst,
                                                         now))
@@ -48,15 +48,15 @@
   std::vector<TeamRateLimiter> RateLimiters;
 };
 
-/// Lets the first aggregator "1" tell a zone's sum for two seconds, growing by
-/// so many units each time.
-void hearSum(TeamRateLimiter &meter, const SourceId &zone, UsedUnits growth,
-             Instant &now) {
-  BOOST_TEST(meter.take(1, 0, Burst, now));
+/// Reports a zone's sum by the first aggregator "1" for two seconds; it grows
+/// by `growth` units with each report.
+void feedZoneSum(TeamRateLimiter &limiter, const SourceId &zone,
+                 UsedUnits growth, Instant &now) {
+  BOOST_TEST(limiter.take(1, 0, Burst, now));
   UsedUnits used = 0;
   for (int n = 0; n < 8; ++n, now += milliseconds(250))
-    meter.notePeer(zone, {IncarnationId("1"), used += growth, false, true},
-                   now);
+    limiter.notePeer(zone, {IncarnationId("1"), used += growth, false, true},
+                     now);
 }
 
 } // namespace
@@ -69,9 +69,9 @@
   BOOST_TEST(taken >= 900 * 20);
 }
 
-// One team sends eight times its allotment to seven hosts. Each host that
-// counted only its own calls would hand out the whole allotment, seven times in
-// all, and the other teams would wait.
+// One team sends eight times its allotment to seven hosts. If each host counted
+// only its own calls, together they would grant seven times the allotment, and
+// other teams would wait.
 BOOST_AUTO_TEST_CASE(all_hosts_together_keep_the_allotment) {
   Fleet fleet(7);
   const std::int64_t taken = fleet.offer(8000, seconds(20), milliseconds(250));
@@ -81,83 +81,83 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_peer_that_starts_anew_counts_from_zero) {
-  TeamRateLimiter meter;
+  TeamRateLimiter limiter;
   const Instant now{seconds(10)};
-  BOOST_TEST(meter.take(1, Rate, Burst, now));
-  meter.notePeer(SourceId("a"), {IncarnationId("1"), 500}, now);
-  meter.notePeer(SourceId("a"), {IncarnationId("2"), 300}, now);
-  BOOST_TEST(meter.level() == Burst - 1 - 500 - 300);
+  BOOST_TEST(limiter.take(1, Rate, Burst, now));
+  limiter.notePeer(SourceId("a"), {IncarnationId("1"), 500}, now);
+  limiter.notePeer(SourceId("a"), {IncarnationId("2"), 300}, now);
+  BOOST_TEST(limiter.level() == Burst - 1 - 500 - 300);
 }
 
-// A host was killed and starts again beside peers that have let in the team's
-// calls for minutes. Charged with all of that at once, it would answer "beyond
-// the allotment" to a team that is well within it, for many seconds.
+// A host was killed and restarts among peers that have admitted the team's
+// calls for minutes. If it charged all of them at once, it would refuse a team
+// that is well within its allotment for many seconds.
 BOOST_AUTO_TEST_CASE(a_host_that_starts_anew_takes_the_level_from_its_peers) {
-  TeamRateLimiter meter;
+  TeamRateLimiter limiter;
   const Instant now{seconds(10)};
-  meter.notePeer(SourceId("a"),
-                 {IncarnationId("1"), 50 * Rate, true, false, {}, 600}, now);
-  meter.notePeer(SourceId("b"),
-                 {IncarnationId("1"), 40 * Rate, true, false, {}, 700}, now);
-  BOOST_TEST(meter.take(100, Rate, Burst, now));
-  BOOST_TEST(meter.settledLevel().value() == 500);
-  // What they let in from then on counts.
-  meter.notePeer(SourceId("a"),
-                 {IncarnationId("1"), 50 * Rate + 200, true, false, {}, 0},
-                 now);
-  BOOST_TEST(meter.level() == 300);
+  limiter.notePeer(SourceId("a"),
+                   {IncarnationId("1"), 50 * Rate, true, false, {}, 600}, now);
+  limiter.notePeer(SourceId("b"),
+                   {IncarnationId("1"), 40 * Rate, true, false, {}, 700}, now);
+  BOOST_TEST(limiter.take(100, Rate, Burst, now));
+  BOOST_TEST(limiter.settledLevel().value() == 500);
+  // What the peers admit from then on counts.
+  limiter.notePeer(SourceId("a"),
+                   {IncarnationId("1"), 50 * Rate + 200, true, false, {}, 0},
+                   now);
+  BOOST_TEST(limiter.level() == 300);
 }
 
-// In a large fleet a host gets its first call of a team seconds after others
-// did. It knew what they had let in, but not what had come in since: callers
-// well within the allotment were turned away.
+// In a large fleet a host receives its first call of a team seconds after
+// others did. It knew what they had admitted but not what had been refilled
+// since, and refused callers well within the allotment.
 BOOST_AUTO_TEST_CASE(a_late_first_call_finds_what_has_come_in_meanwhile) {
-  TeamRateLimiter meter;
+  TeamRateLimiter limiter;
   Instant now{seconds(10)};
   UsedUnits used = 0;
   for (int n = 0; n < 20; ++n, now += milliseconds(250)) {
     used += Rate / 8;
-    meter.notePeer(SourceId("a"), {IncarnationId("1"), used}, now);
+    limiter.notePeer(SourceId("a"), {IncarnationId("1"), used}, now);
   }
-  BOOST_TEST(meter.take(100, Rate, Burst, now));
-  BOOST_TEST(meter.level() > Burst / 2);
+  BOOST_TEST(limiter.take(100, Rate, Burst, now));
+  BOOST_TEST(limiter.level() > Burst / 2);
 }
 
-// The host that aggregates for a zone changes. What the new one counted before,
-// the team was charged with already; what was let in between must not be lost.
+// A zone's aggregator changes. What the new one counted before has already been
+// charged to the team; what was admitted in between must not be lost.
 BOOST_AUTO_TEST_CASE(a_sum_goes_on_with_another_aggregator) {
-  TeamRateLimiter meter;
+  TeamRateLimiter limiter;
   Instant now{seconds(10)};
   const SourceId zone("zone");
-  hearSum(meter, zone, 100, now);
-  const double before = meter.level();
-  // It has counted since long before the first one did.
-  meter.notePeer(zone, {IncarnationId("2"), 90000, true, true}, now);
-  BOOST_TEST(meter.level() < before - 50);
-  BOOST_TEST(meter.level() > before - 500);
-  // It has only just begun to count.
-  meter.notePeer(zone, {IncarnationId("3"), 20, true, true}, now);
-  meter.notePeer(zone, {IncarnationId("3"), 120, true, true},
-                 now + milliseconds(250));
-  BOOST_TEST(meter.level() > before - 1200);
+  feedZoneSum(limiter, zone, 100, now);
+  const double before = limiter.level();
+  // This one started to count long before the first one.
+  limiter.notePeer(zone, {IncarnationId("2"), 90000, true, true}, now);
+  BOOST_TEST(limiter.level() < before - 50);
+  BOOST_TEST(limiter.level() > before - 500);
+  // This one has only just started to count.
+  limiter.notePeer(zone, {IncarnationId("3"), 20, true, true}, now);
+  limiter.notePeer(zone, {IncarnationId("3"), 120, true, true},
+                   now + milliseconds(250));
+  BOOST_TEST(limiter.level() > before - 1200);
 }
 
-// The aggregator changes just as a team begins to press. The pace of before
-// says too little, and the new aggregator knows better.
+// The aggregator changes just as a team starts to send more. The previous pace
+// is too low for the gap, and the new aggregator's pace is right.
 BOOST_AUTO_TEST_CASE(a_new_aggregators_pace_covers_the_time_between) {
-  TeamRateLimiter meter;
+  TeamRateLimiter limiter;
   Instant now{seconds(10)};
   const SourceId zone("zone");
-  hearSum(meter, zone, 10, now);
-  const double before = meter.level();
+  feedZoneSum(limiter, zone, 10, now);
+  const double before = limiter.level();
   now += milliseconds(750);
-  meter.notePeer(zone, {IncarnationId("2"), 90000, true, true, 2000.0}, now);
-  BOOST_TEST(meter.level() < before - 1900);
-  BOOST_TEST(meter.level() > before - 2100);
+  limiter.notePeer(zone, {IncarnationId("2"), 90000, true, true, 2000.0}, now);
+  BOOST_TEST(limiter.level() < before - 1900);
+  BOOST_TEST(limiter.level() > before - 2100);
 }
 
-// One host has missed what others let in, or was charged with it twice. It
-// would overdraw the allotment, or turn the team away, until it is replaced.
+// One host has missed what others admitted, or charged it twice. It would
+// overdraw the allotment, or refuse the team, until it is restarted.
 BOOST_AUTO_TEST_CASE(hosts_agree_on_what_is_left) {
   Instant now{seconds(10)};
   TeamRateLimiter high;
@@ -166,8 +166,9 @@
   BOOST_TEST(low.take(1, Rate, Burst, now));
   for (int n = 0; n < 8; ++n, now += milliseconds(250))
     for (const char *peer : {"a", "b", "c"}) {
-      const double told = peer[0] == 'c' ? -9000 : 500;
-      const PeerUsage use{IncarnationId("1"), 0, false, false, {}, told};
+      const double lastExchange = peer[0] == 'c' ? -9000 : 500;
+      const PeerUsage use{IncarnationId("1"), 0, false, false, {},
+                          lastExchange};
       high.notePeer(SourceId(peer), use, now);
       high.agree(now);
       low.notePeer(SourceId(peer), use, now);
@@ -181,101 +182,100 @@
   BOOST_TEST(low.level() > before);
 }
 
-// A host lets a call in right after its start and hears only then that the
-// bucket is empty.
-BOOST_AUTO_TEST_CASE(a_host_that_began_too_early_believes_its_peers) {
-  TeamRateLimiter meter;
+// A host admits a call right after its start and only then receives the report
+// that the bucket is empty.
+BOOST_AUTO_TEST_CASE(a_host_that_admitted_too_early_takes_its_peers_level) {
+  TeamRateLimiter limiter;
   const Instant now{seconds(10)};
-  BOOST_TEST(meter.take(1, Rate, Burst, now));
-  meter.notePeer(SourceId("a"),
-                 {IncarnationId("1"), 50 * Rate, true, false, {}, -300.0},
-                 now + milliseconds(200));
-  BOOST_TEST(meter.level() <= -300);
+  BOOST_TEST(limiter.take(1, Rate, Burst, now));
+  limiter.notePeer(SourceId("a"),
+                   {IncarnationId("1"), 50 * Rate, true, false, {}, -300.0},
+                   now + milliseconds(200));
+  BOOST_TEST(limiter.level() <= -300);
 }
 
-// A team's large prompts have used its allotment up. Its bookings, which take
+// A team's large prompts have exhausted its allotment. Its bookings, which take
 // next to nothing, would all be refused for as long as prompts keep coming.
 BOOST_AUTO_TEST_CASE(small_calls_are_let_in_a_little_longer) {
   constexpr std::int64_t LargeRate = 100000;
-  TeamRateLimiter meter;
+  TeamRateLimiter limiter;
   const Instant now{seconds(10)};
-  BOOST_TEST(meter.take(LargeRate + 5000, LargeRate, LargeRate, now));
-  BOOST_TEST(!meter.take(5000, LargeRate, LargeRate, now));
-  BOOST_TEST(meter.take(200, LargeRate, LargeRate, now));
-  // Not without end.
+  BOOST_TEST(limiter.take(LargeRate + 5000, LargeRate, LargeRate, now));
+  BOOST_TEST(!limiter.take(5000, LargeRate, LargeRate, now));
+  BOOST_TEST(limiter.take(200, LargeRate, LargeRate, now));
+  // The reserve is limited.
   int more = 0;
-  while (meter.take(200, LargeRate, LargeRate, now))
+  while (limiter.take(200, LargeRate, LargeRate, now))
     ++more;
   BOOST_TEST(more * 200 < LargeRate * 3 / 10);
 }
 
-// Two hosts start anew together: nobody knows the level, and nothing has been
-// let in.
+// Two hosts restart together: no peer knows the level, and nothing has been
+// admitted.
 BOOST_AUTO_TEST_CASE(without_older_peers_the_bucket_is_full) {
-  TeamRateLimiter meter;
+  TeamRateLimiter limiter;
   const Instant now{seconds(10)};
-  BOOST_TEST(!meter.settledLevel().has_value());
-  meter.notePeer(SourceId("a"),
-                 {IncarnationId("1"), 300, false, false, Burst - 300}, now);
-  BOOST_TEST(meter.take(1, Rate, Burst, now));
-  BOOST_TEST(meter.level() == Burst - 301);
+  BOOST_TEST(!limiter.settledLevel().has_value());
+  limiter.notePeer(SourceId("a"),
+                   {IncarnationId("1"), 300, false, false, Burst - 300}, now);
+  BOOST_TEST(limiter.take(1, Rate, Burst, now));
+  BOOST_TEST(limiter.level() == Burst - 301);
 }
 
 BOOST_AUTO_TEST_CASE(units_of_a_call_that_did_not_run_come_back) {
-  TeamRateLimiter meter;
+  TeamRateLimiter limiter;
   const Instant now{seconds(10)};
-  BOOST_TEST(meter.take(Burst, Rate, Burst, now));
-  BOOST_TEST(!meter.take(CallUnits, Rate, Burst, now));
-  BOOST_TEST((meter.wait(Rate) == Duration::zero()));
-  meter.giveBack(Burst);
-  BOOST_TEST(meter.take(CallUnits, Rate, Burst, now));
-  BOOST_TEST(meter.used() == CallUnits);
+  BOOST_TEST(limiter.take(Burst, Rate, Burst, now));
+  BOOST_TEST(!limiter.take(CallUnits, Rate, Burst, now));
+  BOOST_TEST((limiter.wait(Rate) == Duration::zero()));
+  limiter.giveBack(Burst);
+  BOOST_TEST(limiter.take(CallUnits, Rate, Burst, now));
+  BOOST_TEST(limiter.used() == CallUnits);
 }
 
-// A host froze for seven seconds under load and wakes. The reports that its
-// peers sent meanwhile wait in its sockets and are read within a few
-// milliseconds. Divided by the time between two of them, what each adds is
-// thousands of times the peers' pace; counted ahead, it empties the team's
-// bucket for minutes, first here and then at all hosts that take over the
-// level.
+// A host freezes for seven seconds under load. The reports that its peers sent
+// meanwhile wait in its sockets and are read within a few milliseconds. Divided
+// by the time between two of them, the growth is thousands of times the peers'
+// pace; extrapolated, it empties the team's bucket for minutes, here and at all
+// hosts that adopt the level.
 BOOST_AUTO_TEST_CASE(a_host_that_wakes_does_not_empty_the_bucket) {
-  TeamRateLimiter meter;
+  TeamRateLimiter limiter;
   Instant now{seconds(10)};
   std::map<std::string, UsedUnits> used;
   const auto tell = [&] {
     for (const char *peer : {"a", "b", "c", "d"})
-      meter.notePeer(SourceId(peer),
-                     {IncarnationId("1"), used[peer] += Rate / 20}, now);
+      limiter.notePeer(SourceId(peer),
+                       {IncarnationId("1"), used[peer] += Rate / 20}, now);
   };
   for (int n = 0; n < 12; ++n, now += milliseconds(250)) {
     tell();
-    BOOST_TEST(meter.take(CallUnits, Rate, Burst, now));
+    BOOST_TEST(limiter.take(CallUnits, Rate, Burst, now));
   }
   now += seconds(7);
   for (int n = 0; n < 28; ++n, now += microseconds(700))
     tell();
   for (int n = 0; n < 20; ++n, now += milliseconds(150)) {
     now += milliseconds(100);
-    BOOST_TEST(meter.take(CallUnits / 2, Rate, Burst, now));
-    BOOST_TEST(meter.level() > -Rate / 2);
+    BOOST_TEST(limiter.take(CallUnits / 2, Rate, Burst, now));
+    BOOST_TEST(limiter.level() > -Rate / 2);
     tell();
   }
 }
 
-// One host's level is wrong, by whatever mistake. The others must not move
-// towards a figure that no allotment can owe.
+// One host's level is wrong for whatever reason. The others must not move
+// towards a level that no allotment can reach.
 BOOST_AUTO_TEST_CASE(a_level_that_cannot_be_is_not_taken_over) {
-  TeamRateLimiter meter;
+  TeamRateLimiter limiter;
   Instant now{seconds(10)};
-  BOOST_TEST(meter.take(1, Rate, Burst, now));
+  BOOST_TEST(limiter.take(1, Rate, Burst, now));
   for (int n = 0; n < 40; ++n, now += milliseconds(250)) {
-    meter.notePeer(SourceId("a"),
-                   {IncarnationId("1"), 0, false, false, {}, -67000.0 * Rate},
-                   now);
-    meter.agree(now);
+    limiter.notePeer(SourceId("a"),
+                     {IncarnationId("1"), 0, false, false, {}, -67000.0 * Rate},
+                     now);
+    limiter.agree(now);
   }
-  BOOST_TEST(meter.take(1, 0, Burst, now));
-  BOOST_TEST(meter.level() >= -8.0 * Rate - Burst);
+  BOOST_TEST(limiter.take(1, 0, Burst, now));
+  BOOST_TEST(limiter.level() >= -8.0 * Rate - Burst);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
