--- a/Libraries/LibServing/FleetView.cpp
+++ b/Libraries/LibServing/FleetView.cpp
@@ -202,7 +202,7 @@
 }
 
 std::vector<HostId> FleetView::removeSilent(Instant now) {
-  std::vector<HostId> gone;
+  std::vector<HostId> removedHosts;
   for (auto it = Known.begin(); it != Known.end();) {
     const Duration silence = now - it->second.LastSeenAt;
     const bool hasDeparted =
@@ -211,16 +211,16 @@
       ++it;
       continue;
     }
-    gone.push_back(it->first);
+    removedHosts.push_back(it->first);
     Reports.erase(SourceId("host " + it->first.text()));
     it = Known.erase(it);
   }
-  if (!gone.empty())
+  if (!removedHosts.empty())
     updateKnownHostCount();
   for (auto it = Reports.begin(); it != Reports.end();)
     it = now - it->second.At < Settings.RemovalTimeout ? std::next(it)
                                                        : Reports.erase(it);
-  return gone;
+  return removedHosts;
 }
 
 /// The candidates for aggregator, of one zone or of all, highest-ranked first.
--- a/Libraries/LibServing/TeamRateLimiter.cpp
+++ b/Libraries/LibServing/TeamRateLimiter.cpp
@@ -48,8 +48,9 @@
 /// For this long after its first use, a host that admitted calls before it
 /// received reports of older peers lowers its level to theirs.
 static constexpr Duration StartupWindow = milliseconds(1500);
-/// The growth of a sum between two aggregators is limited to this factor times
-/// its pace.
+/// If a new aggregator reports no pace, the growth of its sum since the
+/// previous one's last report is limited to this factor times the last known
+/// pace.
 static constexpr double GapPaceFactor = 3;
 /// The longest time between two aggregators for which a sum's growth is
 /// estimated.
--- a/Tests/LibServing/TestFleetView.cpp
+++ b/Tests/LibServing/TestFleetView.cpp
@@ -87,7 +87,7 @@
       round();
   }
 
-  /// The number of calls that the host believes the others have open at "u".
+  /// The number of calls that others have open at "u", according to the host.
   int othersWork(std::size_t n) const {
     int calls = 0;
     for (const FleetReport *it : Views[n].counted(Members[n], Now)) {
--- a/Tests/LibServing/TestTeamRateLimiter.cpp
+++ b/Tests/LibServing/TestTeamRateLimiter.cpp
@@ -166,9 +166,9 @@
   BOOST_TEST(low.take(1, Rate, Burst, now));
   for (int n = 0; n < 8; ++n, now += milliseconds(250))
     for (const char *peer : {"a", "b", "c"}) {
-      const double lastExchange = peer[0] == 'c' ? -9000 : 500;
+      const double reportedPeerLevel = peer[0] == 'c' ? -9000 : 500;
       const PeerUsage use{IncarnationId("1"), 0, false, false, {},
-                          lastExchange};
+                          reportedPeerLevel};
       high.notePeer(SourceId(peer), use, now);
       high.agree(now);
       low.notePeer(SourceId(peer), use, now);
@@ -242,23 +242,23 @@
   TeamRateLimiter limiter;
   Instant now{seconds(10)};
   std::map<std::string, UsedUnits> used;
-  const auto tell = [&] {
+  const auto reportAllPeers = [&] {
     for (const char *peer : {"a", "b", "c", "d"})
       limiter.notePeer(SourceId(peer),
                        {IncarnationId("1"), used[peer] += Rate / 20}, now);
   };
   for (int n = 0; n < 12; ++n, now += milliseconds(250)) {
-    tell();
+    reportAllPeers();
     BOOST_TEST(limiter.take(CallUnits, Rate, Burst, now));
   }
   now += seconds(7);
   for (int n = 0; n < 28; ++n, now += microseconds(700))
-    tell();
+    reportAllPeers();
   for (int n = 0; n < 20; ++n, now += milliseconds(150)) {
     now += milliseconds(100);
     BOOST_TEST(limiter.take(CallUnits / 2, Rate, Burst, now));
     BOOST_TEST(limiter.level() > -Rate / 2);
-    tell();
+    reportAllPeers();
   }
 }
 
