--- a/Libraries/LibLoad/EngineDemand.cpp
+++ b/Libraries/LibLoad/EngineDemand.cpp
@@ -4,21 +4,24 @@
 
 namespace sorrelbay {
 
-/// The time over which arrivals are averaged.
-static constexpr double MemorySeconds = 3;
-/// More engine time a second than any deployment has engines.
-static constexpr double MostDemand = 1e5;
-
-double EngineDemand::rateOf(const Flow &flow, Instant now) {
-  const double age = std::max(0.0, toSeconds(now - flow.At));
-  return flow.Work * std::exp(-age / MemorySeconds) / MemorySeconds;
+/// Time constant of the exponential average over arrivals, in seconds.
+static constexpr double AveragingSeconds = 3;
+/// Largest plausible rate, in seconds per second: no deployment has as many
+/// engines.
+static constexpr double MaxPlausibleDemand = 1e5;
+
+double EngineDemand::rateOf(const DecayedDemand &decayed, Instant now) {
+  const double age = std::max(0.0, toSeconds(now - decayed.At));
+  return decayed.DecayedSeconds * std::exp(-age / AveragingSeconds) /
+         AveragingSeconds;
 }
 
 void EngineDemand::note(const ServiceId &service, double milliseconds,
                         Instant now) {
-  Flow &flow = Own[service];
-  flow.Work = rateOf(flow, now) * MemorySeconds + milliseconds / 1000;
-  flow.At = now;
+  DecayedDemand &decayed = Own[service];
+  decayed.DecayedSeconds =
+      rateOf(decayed, now) * AveragingSeconds + milliseconds / 1000;
+  decayed.At = now;
 }
 
 void EngineDemand::notePeer(const SourceId &peer,
@@ -26,14 +29,14 @@
   DemandByService &known = Peers[peer];
   known.clear();
   for (const auto &[service, rate] : demand)
-    if (std::isfinite(rate) && rate >= 0 && rate <= MostDemand)
+    if (std::isfinite(rate) && rate >= 0 && rate <= MaxPlausibleDemand)
       known[service] = rate;
 }
 
 DemandByService EngineDemand::own(Instant now) const {
   DemandByService out;
-  for (const auto &[service, flow] : Own)
-    out[service] = rateOf(flow, now);
+  for (const auto &[service, decayed] : Own)
+    out[service] = rateOf(decayed, now);
   return out;
 }
 
--- a/Libraries/LibLoad/EngineDemand.h
+++ b/Libraries/LibLoad/EngineDemand.h
@@ -6,37 +6,37 @@
 
 namespace sorrelbay {
 
-/// Engine time that calls ask for, in seconds a second, by service.
+/// Engine time that calls need, in seconds per second, by service.
 using DemandByService = std::map<ServiceId, double>;
 
-/// How much engine time arrives, over all hosts: what callers ask for,
-/// whether or not there are upstreams for it. Open calls pile up where
-/// upstreams are missing and say little of what is needed; arrivals don't. Not
-/// thread-safe.
+/// Rate at which arriving calls require engine time over all hosts, whether or
+/// not there are upstreams for them. The number of open calls is no measure of
+/// what is needed, since calls queue up while upstreams are missing; arrivals
+/// are. Not thread-safe.
 class EngineDemand {
 public:
-  /// A call has arrived here that takes an engine so many milliseconds.
+  /// A call has arrived at this host that needs `milliseconds` of engine time.
   void note(const ServiceId &service, double milliseconds, Instant now);
-  /// What a peer's report says, instead of what it said before. Figures that
-  /// can't be are left out.
+  /// Replaces the demand that the peer reported before. Rates that are
+  /// negative, not finite or implausibly large are ignored.
   void notePeer(const SourceId &peer, const DemandByService &demand);
   void forgetPeer(const SourceId &peer) { Peers.erase(peer); }
 
-  /// What arrives at this host, for its reports.
+  /// The demand that arrives at this host, for its reports.
   DemandByService own(Instant now) const;
-  /// What arrives at all hosts.
+  /// The demand that arrives at all hosts, in seconds per second.
   double total(const ServiceId &service, Instant now) const;
 
 private:
-  struct Flow {
-    /// Seconds of engine time, older ones counting less.
-    double Work = 0;
+  struct DecayedDemand {
+    /// Exponentially decayed sum of engine time, in seconds.
+    double DecayedSeconds = 0;
     Instant At{};
   };
 
-  static double rateOf(const Flow &flow, Instant now);
+  static double rateOf(const DecayedDemand &decayed, Instant now);
 
-  std::map<ServiceId, Flow> Own;
+  std::map<ServiceId, DecayedDemand> Own;
   std::map<SourceId, DemandByService> Peers;
 };
 
--- a/Libraries/LibLoad/EngineModel.cpp
+++ b/Libraries/LibLoad/EngineModel.cpp
@@ -4,16 +4,19 @@
 
 namespace sorrelbay {
 
-/// The two prompts that the first belief is told by, in tokens.
+/// Sizes of the two prompts that stand for the prior estimate in the least
+/// squares, in tokens.
 static constexpr double ShortPrompt = 0;
 static constexpr double LongPrompt = 4000;
-/// Observations beyond these say nothing of an engine's speed.
-static constexpr double MostTokens = 1e6;
-static constexpr double LongestTook = 20000;
-/// Milliseconds at the service's speed that each upstream is believed to have
-/// taken before it was seen, and what older ones weigh with each new one.
-static constexpr double UsualPaceWeight = 300;
-static constexpr double PaceMemory = 0.8;
+/// Observations of more tokens, or of a longer time in milliseconds, are
+/// ignored as no evidence of an engine's speed.
+static constexpr double MaxSampleTokens = 1e6;
+static constexpr double MaxSampleTime = 20000;
+/// Weight of the usual speed in an upstream's slowness, in milliseconds.
+static constexpr double UsualSpeedWeight = 300;
+/// Factor by which each new observation reduces the weight of an upstream's
+/// older ones.
+static constexpr double SlownessDecayFactor = 0.8;
 
 EngineModel::EngineModel(EngineModelSettings settings)
     : Settings(settings), Base(settings.PriorBase),
@@ -28,44 +31,49 @@
 }
 
 void EngineModel::solve() {
-  Sums all = Past;
+  Sums all = DecayedSums;
   const double weight = Settings.PriorWeight / 2;
   add(all, ShortPrompt, Settings.PriorBase, weight);
   add(all, LongPrompt, Settings.PriorBase + LongPrompt * Settings.PriorPerToken,
       weight);
-  const double spread = all.N * all.Xx - all.X * all.X;
-  if (spread <= 0)
+  const double determinant = all.N * all.Xx - all.X * all.X;
+  if (determinant <= 0)
     return;
-  const double slope = (all.N * all.Xy - all.X * all.Y) / spread;
-  PerToken = std::clamp(slope, Settings.LeastPerToken, Settings.MostPerToken);
-  Base = std::clamp((all.Y - PerToken * all.X) / all.N, 0.0, Settings.MostBase);
+  const double slope = (all.N * all.Xy - all.X * all.Y) / determinant;
+  PerToken = std::clamp(slope, Settings.MinPerToken, Settings.MaxPerToken);
+  Base = std::clamp((all.Y - PerToken * all.X) / all.N, 0.0, Settings.MaxBase);
 }
 
-/// The part of a finding that is still believed.
-double EngineModel::leftOf(const Pace &pace, Instant now) const {
-  const double age = toSeconds(std::max(now - pace.At, Duration::zero()));
+/// The share of an upstream's measured slowness that remains after its decay.
+double EngineModel::remainingShare(const UpstreamTiming &timing,
+                                   Instant now) const {
+  const double age = toSeconds(std::max(now - timing.At, Duration::zero()));
   return std::exp2(-age / toSeconds(Settings.SlownessHalfLife));
 }
 
-void EngineModel::note(const UpstreamId &upstream, const FirstTokenSample &seen,
-                       Instant now) {
-  const auto tokens = static_cast<double>(seen.Tokens);
-  const double took = toSeconds(seen.Took) * 1000;
-  if (tokens < 0 || tokens > MostTokens || took < 0 || took > LongestTook)
+void EngineModel::note(const UpstreamId &upstream,
+                       const FirstTokenSample &observed, Instant now) {
+  const auto tokens = static_cast<double>(observed.Tokens);
+  const double took = toSeconds(observed.Took) * 1000;
+  if (tokens < 0 || tokens > MaxSampleTokens || took < 0 ||
+      took > MaxSampleTime)
     return;
   const double expected = Base + prefillTime(tokens);
   const double slowness = slownessOf(upstream, now);
-  Pace &pace = Upstreams[upstream];
-  const double left = leftOf(pace, now);
-  pace.Took = PaceMemory * (pace.Expected + left * (pace.Took - pace.Expected));
-  pace.Took += took;
-  pace.Expected = PaceMemory * pace.Expected + expected;
-  pace.At = now;
-  for (double *it : {&Past.N, &Past.X, &Past.Y, &Past.Xx, &Past.Xy})
-    *it *= Settings.Memory;
-  // One that is slow says little of the others.
-  add(Past, tokens, took, 1 / std::max(1.0, slowness * slowness));
-  ++Seen;
+  UpstreamTiming &timing = Upstreams[upstream];
+  const double remainingWeight = remainingShare(timing, now);
+  timing.Took =
+      SlownessDecayFactor *
+      (timing.Expected + remainingWeight * (timing.Took - timing.Expected));
+  timing.Took += took;
+  timing.Expected = SlownessDecayFactor * timing.Expected + expected;
+  timing.At = now;
+  for (double *it : {&DecayedSums.N, &DecayedSums.X, &DecayedSums.Y,
+                     &DecayedSums.Xx, &DecayedSums.Xy})
+    *it *= Settings.DecayFactor;
+  // A slow upstream is little evidence of the speed of the others.
+  add(DecayedSums, tokens, took, 1 / std::max(1.0, slowness * slowness));
+  ++Observations;
   solve();
 }
 
@@ -73,11 +81,11 @@
   const auto it = Upstreams.find(upstream);
   if (it == Upstreams.end())
     return 1;
-  const Pace &pace = it->second;
-  const double found =
-      (pace.Took + UsualPaceWeight) / (pace.Expected + UsualPaceWeight);
-  return std::clamp(1 + (found - 1) * leftOf(pace, now), Settings.LeastSlowness,
-                    Settings.MostSlowness);
+  const UpstreamTiming &timing = it->second;
+  const double measuredSlowness =
+      (timing.Took + UsualSpeedWeight) / (timing.Expected + UsualSpeedWeight);
+  return std::clamp(1 + (measuredSlowness - 1) * remainingShare(timing, now),
+                    Settings.MinSlowness, Settings.MaxSlowness);
 }
 
 } // namespace sorrelbay
--- a/Libraries/LibLoad/EngineModel.h
+++ b/Libraries/LibLoad/EngineModel.h
@@ -7,60 +7,70 @@
 
 namespace sorrelbay {
 
-/// How long an upstream took to a first token, and for how much.
+/// A measured time to first token, and the tokens that were prefilled in it.
 struct FirstTokenSample {
-  /// Prompt tokens that it had to read until then: the call's own that weren't
-  /// cached, and those of the calls ahead of it.
+  /// Prompt tokens that the upstream prefilled until then: the call's own that
+  /// were not cached, and those of the calls queued ahead of it.
   std::int64_t Tokens = 0;
-  /// From the send to the first byte.
+  /// Time from the send to the first byte.
   Duration Took{};
 };
 
 struct EngineModelSettings {
-  /// What is believed before anything was seen: the time to the first token of
-  /// an empty prompt, and what each prompt token adds, in milliseconds.
+  /// Prior estimate of the time to first token of an empty prompt, in
+  /// milliseconds.
   double PriorBase = 40;
+  /// Prior estimate of the time that each prompt token adds, in milliseconds.
   double PriorPerToken = 0.01;
-  /// Observations that this belief weighs as much as.
+  /// Weight of the prior estimate, in observations.
   double PriorWeight = 4;
-  /// The weight that older observations keep with each new one.
-  double Memory = 0.99;
-  /// What is learned never leaves these ranges, in milliseconds.
-  double LeastPerToken = 0.0005;
-  double MostPerToken = 1;
-  double MostBase = 500;
-  /// Observations after which the estimate is relied on to turn calls away.
-  int EnoughSeen = 10;
-  /// How many times slower or faster than its service one upstream may be
-  /// taken for.
-  double MostSlowness = 8;
-  double LeastSlowness = 0.5;
-  /// An upstream that was found slow is tried again as the finding fades.
+  /// Factor by which each new observation reduces the weight of older ones, 0
+  /// to 1.
+  double DecayFactor = 0.99;
+  /// Lower bound of the estimated time for each prompt token, in milliseconds.
+  double MinPerToken = 0.0005;
+  /// Upper bound of the estimated time for each prompt token, in milliseconds.
+  double MaxPerToken = 1;
+  /// Upper bound of the estimated time for an empty prompt, in milliseconds.
+  double MaxBase = 500;
+  /// Observations after which calls may be rejected by the estimate.
+  int MinObservations = 10;
+  /// Upper bound of an upstream's slowness, as a multiple of its service's
+  /// usual time.
+  double MaxSlowness = 8;
+  /// Lower bound of an upstream's slowness, as a multiple of its service's
+  /// usual time.
+  double MinSlowness = 0.5;
+  /// Half-life of an upstream's measured slowness: as it decays, a slow
+  /// upstream gets calls again.
   Duration SlownessHalfLife = seconds(5);
 };
 
-/// What the engines of one service do, learned from their first tokens: how
-/// long a prompt takes by its size, for the service as a whole by least squares
-/// over past observations, and by how much each upstream differs from it.
-/// Engines of another make are several times faster or slower, so that figures
-/// in tokens that fit one are wrong for the next. Not thread-safe.
+/// Latency model of one service's engines, learned from their times to first
+/// token: the prefill time by prompt size for the service as a whole, by least
+/// squares over past observations, and each upstream's slowness relative to it.
+/// Engines of different types differ in speed by factors, so that limits in
+/// tokens that fit one type are wrong for the next. Not thread-safe.
 class EngineModel {
 public:
   explicit EngineModel(EngineModelSettings settings = {});
 
-  void note(const UpstreamId &upstream, const FirstTokenSample &seen,
+  void note(const UpstreamId &upstream, const FirstTokenSample &observed,
             Instant now);
   void forget(const UpstreamId &upstream) { Upstreams.erase(upstream); }
 
-  /// Milliseconds that reading so many prompt tokens takes at an upstream of
-  /// usual speed.
+  /// Time to prefill `tokens` prompt tokens at an upstream of usual speed, in
+  /// milliseconds.
   double prefillTime(double tokens) const { return PerToken * tokens; }
-  /// By how much the upstream is slower than that.
+  /// The upstream's time as a multiple of the usual one; 1 until it is
+  /// measured.
   double slownessOf(const UpstreamId &upstream, Instant now) const;
-  /// Milliseconds from the send to the first token, besides reading.
+  /// Time from the send to the first token without prefill, in milliseconds.
   double base() const { return Base; }
-  /// Whether enough was seen to turn calls away by it.
-  bool hasEnoughSamples() const { return Seen >= Settings.EnoughSeen; }
+  /// Whether there are enough observations to reject calls by the estimate.
+  bool hasEnoughSamples() const {
+    return Observations >= Settings.MinObservations;
+  }
 
 private:
   /// Decayed sums over observations: x is tokens, y milliseconds.
@@ -71,8 +81,9 @@
     double Xx = 0;
     double Xy = 0;
   };
-  /// What one upstream took, and what it would have taken at usual speed.
-  struct Pace {
+  /// Decayed sums of one upstream's measured times and of the times expected at
+  /// usual speed, in milliseconds.
+  struct UpstreamTiming {
     double Took = 0;
     double Expected = 0;
     Instant At{};
@@ -80,14 +91,14 @@
 
   static void add(Sums &sums, double x, double y, double weight);
   void solve();
-  double leftOf(const Pace &pace, Instant now) const;
+  double remainingShare(const UpstreamTiming &timing, Instant now) const;
 
   EngineModelSettings Settings;
-  Sums Past;
+  Sums DecayedSums;
   double Base;
   double PerToken;
-  int Seen = 0;
-  std::map<UpstreamId, Pace> Upstreams;
+  int Observations = 0;
+  std::map<UpstreamId, UpstreamTiming> Upstreams;
 };
 
 } // namespace sorrelbay
--- a/Libraries/LibLoad/PromptCacheEstimate.h
+++ b/Libraries/LibLoad/PromptCacheEstimate.h
@@ -10,37 +10,38 @@
 namespace sorrelbay {
 
 struct PromptCacheEstimateSettings {
-  /// A part that wasn't used for so long may have yielded to others.
-  Duration Kept = seconds(10);
-  /// Parts and places that are remembered at the most.
-  std::size_t MostEntries = 20000;
+  /// A part that was not used for longer than this counts as evicted.
+  Duration MaxIdleTime = seconds(10);
+  /// Maximum number of entries. When it is reached, expired entries are
+  /// dropped, and all entries if that is not enough.
+  std::size_t MaxCacheEntries = 20000;
 };
 
-/// What this host believes of the prompt parts that upstreams have cached: it
-/// sent them there lately, or callers use the part so much that each upstream
-/// has read it. A wrong belief costs time, never a wrong answer. Not
-/// thread-safe.
+/// This host's estimate of the prompt parts that upstreams have cached: parts
+/// that it sent there recently, and parts that callers use so often that each
+/// upstream has read them. A wrong estimate costs time but never gives a wrong
+/// response. Not thread-safe.
 class PromptCacheEstimate {
 public:
   explicit PromptCacheEstimate(PromptCacheEstimateSettings settings = {})
       : Settings(settings) {}
 
-  /// A call with that part was sent to the upstream.
+  /// A call with the part was sent to the upstream.
   void note(const UpstreamId &upstream, const std::string &part, Instant now);
-  /// How likely the upstream has it, in [0, 1], where this host is one of so
-  /// many that send calls and the upstream one of so many that get them.
+  /// The probability in [0, 1] that the upstream has the part cached, given the
+  /// number of hosts that send calls and of upstreams that receive them.
   double likelihood(const UpstreamId &upstream, const std::string &part,
                     double hosts, double upstreams, Instant now) const;
   std::size_t size() const { return Sent.size() + Uses.size(); }
 
 private:
   struct Use {
-    /// Sends with the part, older ones counting less.
+    /// Exponentially decayed number of sends with the part.
     double Count = 0;
     Instant At{};
   };
 
-  double fresh(const Use &use, Instant now) const;
+  double decayedCount(const Use &use, Instant now) const;
   void prune(Instant now);
 
   PromptCacheEstimateSettings Settings;
--- a/Libraries/LibLoad/QueueWaitLimits.cpp
+++ b/Libraries/LibLoad/QueueWaitLimits.cpp
@@ -3,21 +3,21 @@
 
 namespace sorrelbay {
 
-void QueueWaitLimits::add(const PromptClass &urgency) {
-  if (urgency.LatencyTarget <= Duration::zero())
+void QueueWaitLimits::add(const PromptClass &promptClass) {
+  if (promptClass.LatencyTarget <= Duration::zero())
     return;
-  Duration &target = Targets[urgency.OfService][urgency.Priority];
-  target = std::max(target, urgency.LatencyTarget);
+  Duration &target = Targets[promptClass.OfService][promptClass.Priority];
+  target = std::max(target, promptClass.LatencyTarget);
 }
 
-Duration QueueWaitLimits::maxQueueWait(const PromptClass &urgency) const {
-  if (urgency.LatencyTarget <= Duration::zero())
+Duration QueueWaitLimits::maxQueueWait(const PromptClass &promptClass) const {
+  if (promptClass.LatencyTarget <= Duration::zero())
     return Duration::zero();
-  Duration target = urgency.LatencyTarget;
-  const auto service = Targets.find(urgency.OfService);
+  Duration target = promptClass.LatencyTarget;
+  const auto service = Targets.find(promptClass.OfService);
   if (service != Targets.end())
     for (const auto &[priority, it] : service->second)
-      if (priority >= urgency.Priority)
+      if (priority >= promptClass.Priority)
         target = std::max(target, it);
   return fromSeconds(toSeconds(target) * QueueWaitShare);
 }
--- a/Libraries/LibLoad/QueueWaitLimits.h
+++ b/Libraries/LibLoad/QueueWaitLimits.h
@@ -6,36 +6,37 @@
 
 namespace sorrelbay {
 
-/// A kind of call as far as its place in a queue of prompts goes.
+/// The properties of a call that determine its limit in a prompt queue.
 struct PromptClass {
   ServiceId OfService;
-  /// 0 goes first.
+  /// 0 is the highest priority.
   int Priority = 0;
-  /// A first token after this is late.
+  /// A first token that takes longer than this is late; zero for no target.
   Duration LatencyTarget{};
 };
 
-/// How long a call may have to wait for other prompts at the best upstream
-/// before it is turned away. Where more is asked for than engines can read,
-/// every prompt let in makes all behind it later, until each answer comes late
-/// and none is of use; turned away at once, its caller can come back when there
-/// is room. The limit is on the wait for others and not on the call's own
-/// prompt, so that large prompts are turned away no more often than small ones,
-/// and it is never lower for an urgent kind of call than for a less urgent one.
+/// The longest time that a call may have to wait for other prompts at the best
+/// upstream before it is rejected. Under overload, each admitted prompt delays
+/// all prompts behind it, until every response is late and of no use; a caller
+/// whose call is rejected at once can retry when there is capacity. The limit
+/// applies to the wait for other prompts and not to the call's own prefill, so
+/// that large prompts are rejected no more often than small ones, and it is
+/// never lower for a call of higher priority than for one of lower priority.
 /// Not thread-safe.
 class QueueWaitLimits {
 public:
-  /// The part of a latency target that may go by in waiting for others.
+  /// The share of a latency target that may be spent waiting for other prompts,
+  /// 0 to 1.
   explicit QueueWaitLimits(double queueWaitShare = 0.45)
       : QueueWaitShare(queueWaitShare) {}
 
-  void add(const PromptClass &urgency);
-  /// The longest wait for others; nothing is turned away where it is zero.
-  Duration maxQueueWait(const PromptClass &urgency) const;
+  void add(const PromptClass &promptClass);
+  /// The longest wait for other prompts; zero for no limit.
+  Duration maxQueueWait(const PromptClass &promptClass) const;
 
 private:
   double QueueWaitShare;
-  /// The largest target of each priority, by service.
+  /// The largest latency target of each priority, by service.
   std::map<ServiceId, std::map<int, Duration>> Targets;
 };
 
--- a/Libraries/LibServing/CallRetryState.cpp
+++ b/Libraries/LibServing/CallRetryState.cpp
@@ -16,10 +16,11 @@
 
 void CallRetryState::recordSend() {
   verifyInvariant(!IsSent && AttemptsLeft > 0, "call_sent_in_turn",
-                  "a call is sent while it may not be");
+                  "a call is sent while a send is in progress or no "
+                  "attempts are left");
   verifyInvariant(!MayHaveRun || Kind == Repeatability::Idempotent,
                   "once_only_call_sent_once",
-                  "a call that may have run is sent again");
+                  "a non-idempotent call that may have run is sent again");
   --AttemptsLeft;
   ++Sends;
   IsSent = true;
--- a/Libraries/LibServing/CallRetryState.h
+++ b/Libraries/LibServing/CallRetryState.h
@@ -5,20 +5,22 @@
 
 namespace sorrelbay {
 
-/// How a call ends for its caller when no upstream's answer can be passed on.
+/// Why no upstream's response could be forwarded to the caller.
 enum class CallFailureKind {
-  /// It has not run and never will: the caller may send it again.
+  /// No upstream has run the call or will run it: the caller may retry.
   NotRun,
-  /// An upstream failed, and may have run it.
+  /// An upstream failed and may have run the call.
   Unknown,
-  /// Its time is over, and an upstream may have run it or still be at it.
+  /// The deadline has passed, and an upstream may have run the call or may
+  /// still be running it.
   TimedOut,
 };
 
-/// What may still be done for one attempt of a caller: the one place that
-/// decides whether a call may be sent (again), and what may be promised of it.
-/// A booking that is sent twice sends two crews out, and one that ran although
-/// its caller was answered that it had not is sent again by the caller.
+/// Retry state of one attempt of a caller: the single place that decides
+/// whether the call may be sent (again) and what its caller may assume about
+/// its outcome. A non-idempotent call that is sent twice runs twice (two crews
+/// are dispatched for one booking), and one that ran although its caller got
+/// the error for a call that did not run is sent again by the caller.
 class CallRetryState {
 public:
   CallRetryState(Repeatability kind, int maxAttempts, Instant deadline)
@@ -26,19 +28,23 @@
 
   /// Whether the call may be sent to an upstream now.
   bool canSend(Instant now) const;
-  /// Whether an answer that was begun may go on at another upstream.
+  /// Whether a response that was partly forwarded may be resumed at another
+  /// upstream.
   bool canResume(Instant now) const;
-  /// Its bytes are about to leave this host: from now on it may have run.
+  /// Must be called before the first byte of the call is sent: from then on an
+  /// upstream may have run it.
   void recordSend();
-  /// The upstream that it was sent to says that it did not run it.
+  /// The upstream reported that it did not run the call.
   void recordNotRun();
-  /// The upstream broke off, was silent or answered a failure of its own.
+  /// The connection broke, the upstream did not respond in time, or it
+  /// responded with a server error.
   void recordFailure();
-  /// Bytes of an answer were passed on: no other answer may follow.
+  /// Part of a response was forwarded to the caller: no other response may
+  /// follow.
   void recordResponseStarted() { IsAnswering = true; }
 
   bool isAnswering() const { return IsAnswering; }
-  /// Whether the call was sent more than once.
+  /// The number of times that the call was sent.
   int sends() const { return Sends; }
   Instant deadline() const { return Deadline; }
   CallFailureKind failureKind(Instant now) const;
@@ -48,7 +54,7 @@
   int AttemptsLeft;
   Instant Deadline;
   int Sends = 0;
-  /// A send whose outcome isn't known yet.
+  /// A send is in progress whose outcome is not known yet.
   bool IsSent = false;
   bool MayHaveRun = false;
   bool IsAnswering = false;
--- a/Libraries/LibServing/ColdShare.cpp
+++ b/Libraries/LibServing/ColdShare.cpp
@@ -4,8 +4,9 @@
 
 namespace sorrelbay {
 
-/// A second, and by how much more one call than the next may be held up on its
-/// way to the upstream.
+/// One second, plus the largest difference between the network delays of two
+/// calls: calls that are sent more than a second apart may still arrive within
+/// one second.
 static constexpr Duration Window = milliseconds(1100);
 
 int coldRateShare(const UpstreamId &upstream, const HostId &self,
@@ -14,13 +15,14 @@
   if (calls == 0 || hosts.empty())
     return 0;
   const std::size_t senders = std::min(hosts.size(), calls);
-  const std::uint64_t order = stableHash(upstream.text());
-  const std::uint64_t own = stableHash(self.text(), order);
-  std::size_t before = 0;
+  const std::uint64_t upstreamHash = stableHash(upstream.text());
+  const std::uint64_t ownRank = stableHash(self.text(), upstreamHash);
+  std::size_t hostsBefore = 0;
   bool isListed = false;
   for (const HostId &it : hosts) {
     isListed = isListed || it == self;
-    if (stableHash(it.text(), order) < own && ++before == senders)
+    if (stableHash(it.text(), upstreamHash) < ownRank &&
+        ++hostsBefore == senders)
       return 0;
   }
   return isListed ? static_cast<int>(calls / senders) : 0;
--- a/Libraries/LibServing/ColdShare.h
+++ b/Libraries/LibServing/ColdShare.h
@@ -7,17 +7,17 @@
 
 namespace sorrelbay {
 
-/// Calls that this host may send to a cold upstream in any second, of the
-/// `perSecond` that all hosts together may. The first hosts in the upstream's
-/// rendezvous order have equal parts and the others none, so that hosts need
-/// not agree by messages: one that has not heard of another host gives that
-/// host's part away once more and no further. A host that the list lacks has
-/// none. 0 where nothing may be sent.
+/// The number of calls that the host `self` may send to a cold upstream within
+/// any second, out of the `perSecond` that all hosts together may send. The
+/// first hosts in the upstream's rendezvous hashing order get equal shares and
+/// the others none, so that hosts need no messages to agree: if some hosts do
+/// not know of another one, its share is granted once more, but no further.
+/// Returns 0 if `self` is not in `hosts`, or if nothing may be sent.
 int coldRateShare(const UpstreamId &upstream, const HostId &self,
                   const std::vector<HostId> &hosts, double perSecond);
 
-/// Keeps one host's sends to one cold upstream to its share in every second,
-/// wherever the second begins. Not thread-safe.
+/// Limits the calls that one host sends to one cold upstream to its share
+/// within any second, wherever the second begins. Not thread-safe.
 class ColdRateLimiter {
 public:
   /// Whether another call may be sent now.
@@ -25,7 +25,7 @@
   void note(Instant now);
 
 private:
-  /// Sends of the last second, the oldest first.
+  /// Times of the sends within the last window, the oldest first.
   std::deque<Instant> Sends;
 };
 
--- a/Libraries/LibServing/EventSplitter.cpp
+++ b/Libraries/LibServing/EventSplitter.cpp
@@ -6,25 +6,26 @@
 static constexpr std::string_view IdField = "id:";
 
 std::string EventSplitter::feed(std::string_view bytes) {
-  // An end may lie across the border of two reads.
-  const std::size_t from = Part.empty() ? 0 : Part.size() - 1;
-  Part.append(bytes);
-  std::size_t whole = 0;
-  std::size_t at = Part.find(EventEnd, from);
+  // The end of an event may be split across two reads.
+  const std::size_t from = PartialEvent.empty() ? 0 : PartialEvent.size() - 1;
+  PartialEvent.append(bytes);
+  std::size_t completeEnd = 0;
+  std::size_t at = PartialEvent.find(EventEnd, from);
   while (at != std::string::npos) {
     const std::size_t end = at + EventEnd.size();
-    readId(std::string_view(Part).substr(whole, end - whole));
-    whole = end;
-    at = Part.find(EventEnd, whole);
+    readId(
+        std::string_view(PartialEvent).substr(completeEnd, end - completeEnd));
+    completeEnd = end;
+    at = PartialEvent.find(EventEnd, completeEnd);
   }
-  std::string out = Part.substr(0, whole);
-  Part.erase(0, whole);
+  std::string out = PartialEvent.substr(0, completeEnd);
+  PartialEvent.erase(0, completeEnd);
   return out;
 }
 
 std::string EventSplitter::takePartialEvent() {
-  std::string out = std::move(Part);
-  Part.clear();
+  std::string out = std::move(PartialEvent);
+  PartialEvent.clear();
   return out;
 }
 
--- a/Libraries/LibServing/EventSplitter.h
+++ b/Libraries/LibServing/EventSplitter.h
@@ -5,25 +5,25 @@
 
 namespace sorrelbay {
 
-/// Cuts a stream of server-sent events into whole events, so that a stream
-/// which breaks off in the middle of an event can go on at another upstream
-/// without the caller getting that event one and a half times.
+/// Splits a stream of server-sent events into complete events, so that a stream
+/// that breaks off in the middle of an event can be resumed at another upstream
+/// without the caller receiving a part of that event twice.
 class EventSplitter {
 public:
-  /// Takes the next bytes and returns the whole events that are complete now,
-  /// as they came.
+  /// Adds the next bytes of the stream and returns the events that they
+  /// complete, unchanged.
   std::string feed(std::string_view bytes);
-  /// The id of the last whole event; empty before the first.
+  /// The id of the last complete event that has one; empty before the first.
   const std::string &lastId() const { return LastId; }
-  /// Whether bytes of an event that isn't whole are held back.
-  bool hasPartialEvent() const { return !Part.empty(); }
-  /// What is held back of an event that isn't whole.
+  /// Whether bytes of an incomplete event are buffered.
+  bool hasPartialEvent() const { return !PartialEvent.empty(); }
+  /// Removes and returns the buffered bytes of an incomplete event.
   std::string takePartialEvent();
 
 private:
   void readId(std::string_view event);
 
-  std::string Part;
+  std::string PartialEvent;
   std::string LastId;
 };
 
--- a/Libraries/LibServing/ReplicaAutoscaler.cpp
+++ b/Libraries/LibServing/ReplicaAutoscaler.cpp
@@ -5,62 +5,66 @@
 
 namespace sorrelbay {
 
-/// An order that was accepted but doesn't show is given again after the boot
-/// time and this.
+/// An accepted order whose replicas do not appear is repeated after the startup
+/// time plus this margin.
 static constexpr Duration OrderMargin = seconds(3);
-/// From a replica's boot until its entry shows.
-static constexpr Duration BootMargin = milliseconds(700);
+/// Time from the end of a replica's startup until its registration is visible.
+static constexpr Duration RegistrationMargin = milliseconds(700);
 
 ReplicaAutoscaler::ReplicaAutoscaler(ScalingBounds bounds, EngineShape engine,
                                      ReplicaAutoscalerSettings settings)
     : Bounds(std::move(bounds)), Engine(engine), Settings(settings) {}
 
 int ReplicaAutoscaler::replicasFor(const ServiceLoad &load) const {
-  const double byCalls = load.OpenCalls / (Engine.Slots * Settings.CallShare);
+  const double byCalls =
+      load.OpenCalls / (Engine.Slots * Settings.TargetSlotShare);
   const double byTokens = Engine.MemoryTokens <= 0
                               ? 0
                               : static_cast<double>(load.OpenTokens) /
                                     (static_cast<double>(Engine.MemoryTokens) *
-                                     Settings.TokenShare);
-  const double byReading = load.EngineSeconds / Settings.TargetPrefillShare;
-  const double most = std::max({byCalls, byTokens, byReading});
-  return std::max(1, static_cast<int>(std::ceil(most)));
+                                     Settings.TargetMemoryShare);
+  const double byPrefill = load.EngineSeconds / Settings.TargetPrefillShare;
+  const double highestNeed = std::max({byCalls, byTokens, byPrefill});
+  return std::max(1, static_cast<int>(std::ceil(highestNeed)));
 }
 
 int ReplicaAutoscaler::assured() const {
-  return static_cast<int>(std::ceil(Certain * Settings.OnDemandShare));
+  return static_cast<int>(std::ceil(KnownNeed * Settings.OnDemandCoverage));
 }
 
-bool ReplicaAutoscaler::knowsLoad(Instant now) const {
-  return LoadSince != Instant{} && now - LoadSince > Settings.PeakMemory;
+bool ReplicaAutoscaler::isLoadKnown(Instant now) const {
+  return LoadSince != Instant{} && now - LoadSince > Settings.PeakWindow;
 }
 
 bool ReplicaAutoscaler::isScarce(Instant now) const {
-  return ScarceSince != Instant{} && now - ScarceSince < Settings.ScarceMemory;
+  return LastScarceAt != Instant{} &&
+         now - LastScarceAt < Settings.ScarcityWindow;
 }
 
-void ReplicaAutoscaler::rememberPeak(const ServiceLoad &load, int serving,
-                                     Instant now) {
+void ReplicaAutoscaler::recordPeak(const ServiceLoad &load, int serving,
+                                   Instant now) {
   int wanted = replicasFor(load);
-  // Calls pile up where replicas are missing; their number then speaks of what
-  // is missing, not of what will be needed once it is there. It is looked at
-  // anew when what was ordered has had the time to come.
-  const bool isShort = Kept > 0 && serving < Kept;
-  const bool isNew = ShortSince == Instant{} ||
-                     now - ShortSince > 2 * Bounds.StartupTime + OrderMargin;
+  // Calls queue up while replicas are missing, so that their number reflects
+  // the shortage and not what will be needed after it. The baseline is renewed
+  // once ordered replicas have had the time to start.
+  const bool isShort = PlannedReplicas > 0 && serving < PlannedReplicas;
+  const bool isBaselineOutdated =
+      ShortSince == Instant{} ||
+      now - ShortSince > 2 * Bounds.StartupTime + OrderMargin;
   if (!isShort) {
     ShortSince = {};
-  } else if (isNew) {
+  } else if (isBaselineOutdated) {
     ShortSince = now;
-    KeptBefore = Kept;
+    PlannedBeforeShortage = PlannedReplicas;
   }
   if (isShort)
-    wanted = std::min(wanted, static_cast<int>(std::ceil(
-                                  KeptBefore * Settings.GrowthWhileShort)));
+    wanted = std::min(
+        wanted, static_cast<int>(std::ceil(PlannedBeforeShortage *
+                                           Settings.MaxGrowthWhileShort)));
   Peaks.emplace_back(now, wanted);
   Peaks.erase(std::remove_if(Peaks.begin(), Peaks.end(),
                              [&](const auto &it) {
-                               return now - it.first > Settings.PeakMemory;
+                               return now - it.first > Settings.PeakWindow;
                              }),
               Peaks.end());
   Needed = 0;
@@ -68,150 +72,158 @@
     Needed = std::max(Needed, count);
 }
 
-void ReplicaAutoscaler::add(std::vector<ReplicaOrder> &out,
-                            const ServiceId &service, const ZoneId &zone,
-                            bool isReclaimable, int count, int seen,
-                            Instant now) {
-  Ordered &last = Last[{zone, isReclaimable}];
+void ReplicaAutoscaler::addOrder(std::vector<ReplicaOrder> &out,
+                                 const ServiceId &service, const ZoneId &zone,
+                                 bool isReclaimable, int count, int seen,
+                                 Instant now) {
+  LastOrder &last = LastOrders[{zone, isReclaimable}];
   if (count == seen && last.Count < 0)
     return;
   const bool wasRefused = last.RefusedAt != Instant{} &&
-                          now - last.RefusedAt < Settings.RefusedPause;
+                          now - last.RefusedAt < Settings.RefusalBackoff;
   if (wasRefused)
     return;
   const bool isSame = last.Count == count;
-  const bool isStuck =
+  const bool isOrderOverdue =
       seen != count && now - last.At > Bounds.StartupTime + OrderMargin;
-  if (isSame && !isStuck)
+  if (isSame && !isOrderOverdue)
     return;
   out.push_back({service, zone, isReclaimable, count});
 }
 
-/// Begins with what an earlier holder has ordered, without what it kept for the
-/// loss of a zone; later the reclaimable ones are this plan's own. Where a zone
-/// has none that loss has come, and others may not be had.
-void ReplicaAutoscaler::takeOver(const std::map<ZoneId, ZoneReplicas> &seen,
-                                 Instant now) {
+/// Starts with the replicas that an earlier lease holder ordered, less its
+/// reserve for the loss of a zone. Called once, since later reclaimable
+/// replicas result from this autoscaler's own orders. If some zone has no
+/// reclaimable replicas, that loss has already happened and further ones may be
+/// unavailable.
+void ReplicaAutoscaler::adoptExisting(
+    const std::map<ZoneId, ZoneReplicas> &seen, Instant now) {
   const int zones = static_cast<int>(seen.size());
   int all = 0;
   int reclaimable = 0;
-  int with = 0;
-  int withReclaimable = 0;
+  int occupiedZones = 0;
+  int zonesWithReclaimable = 0;
   for (const auto &[zone, it] : seen) {
     all += it.OnDemand + it.Reclaimable;
     reclaimable += it.Reclaimable;
-    with += it.OnDemand + it.Reclaimable > 0 ? 1 : 0;
-    withReclaimable += it.Reclaimable > 0 ? 1 : 0;
+    occupiedZones += it.OnDemand + it.Reclaimable > 0 ? 1 : 0;
+    zonesWithReclaimable += it.Reclaimable > 0 ? 1 : 0;
   }
   if (all == 0)
     return;
-  HasSeen = true;
-  LowSince = now;
-  Kept = with < zones ? all : all * std::max(1, zones - 1) / zones;
-  if (reclaimable > 0 && withReclaimable < zones)
-    ScarceSince = now;
+  HasSeenReplicas = true;
+  SurplusSince = now;
+  PlannedReplicas =
+      occupiedZones < zones ? all : all * std::max(1, zones - 1) / zones;
+  if (reclaimable > 0 && zonesWithReclaimable < zones)
+    LastScarceAt = now;
 }
 
-void ReplicaAutoscaler::keepLevel(const std::map<ZoneId, ZoneReplicas> &seen,
-                                  Instant now) {
+void ReplicaAutoscaler::updatePlannedReplicas(
+    const std::map<ZoneId, ZoneReplicas> &seen, Instant now) {
   if (Needed > 1 && LoadSince == Instant{})
     LoadSince = now;
   int onDemand = 0;
   for (const auto &[zone, it] : seen)
     onDemand += it.OnDemand;
-  if (!HasSeen)
-    takeOver(seen, now);
+  if (!HasSeenReplicas)
+    adoptExisting(seen, now);
   if (LoadSince == Instant{}) {
-    Kept = std::max(Kept, onDemand);
-    LowSince = now;
+    PlannedReplicas = std::max(PlannedReplicas, onDemand);
+    SurplusSince = now;
   }
-  const bool mayShrink =
-      knowsLoad(now) && !isScarce(now) && now - LowSince > Settings.ShrinkPause;
-  if (Needed >= Kept || mayShrink) {
-    Kept = Needed;
-    LowSince = now;
+  const bool mayShrink = isLoadKnown(now) && !isScarce(now) &&
+                         now - SurplusSince > Settings.ScaleDownDelay;
+  if (Needed >= PlannedReplicas || mayShrink) {
+    PlannedReplicas = Needed;
+    SurplusSince = now;
   }
-  const double growth = knowsLoad(now) ? 1 : Settings.UnseenGrowth;
-  Certain = LoadSince == Instant{}
-                ? Kept
-                : std::min(Kept, static_cast<int>(std::ceil(Needed * growth)));
+  const double growth = isLoadKnown(now) ? 1 : Settings.UnobservedLoadFactor;
+  KnownNeed = LoadSince == Instant{}
+                  ? PlannedReplicas
+                  : std::min(PlannedReplicas,
+                             static_cast<int>(std::ceil(Needed * growth)));
 }
 
-/// Replicas of the kind that serve in the zone or will once they have booted.
+/// Replicas of the kind in the zone, including those that are still starting.
 int ReplicaAutoscaler::expected(const ZoneId &zone, bool isReclaimable,
                                 int seen, Instant now) const {
-  const auto it = Last.find({zone, isReclaimable});
-  const bool mayBoot = it != Last.end() && it->second.Count > seen &&
-                       now - it->second.At < Bounds.StartupTime + BootMargin &&
-                       it->second.RefusedAt == Instant{};
-  return mayBoot ? it->second.Count : seen;
+  const auto it = LastOrders.find({zone, isReclaimable});
+  const bool mayBeStarting =
+      it != LastOrders.end() && it->second.Count > seen &&
+      now - it->second.At < Bounds.StartupTime + RegistrationMargin &&
+      it->second.RefusedAt == Instant{};
+  return mayBeStarting ? it->second.Count : seen;
 }
 
-/// A notice is the first that is heard of a shortage; waiting for the first
-/// refusal costs the seconds that the notice gives.
-void ReplicaAutoscaler::rememberNotices(
+/// A reclaim notice is the first sign of a shortage: waiting for the first
+/// refused order would waste the seconds of warning that the notice gives.
+void ReplicaAutoscaler::recordNotices(
     const std::map<ZoneId, ZoneReplicas> &seen, Instant now) {
   for (const auto &[zone, it] : seen) {
     if (!it.HasReclaimNotice) {
-      UnderNotice.erase(zone);
+      ZonesUnderNotice.erase(zone);
       continue;
     }
-    ScarceSince = now;
-    if (UnderNotice.insert(zone).second)
-      Notices.push_back(now);
+    LastScarceAt = now;
+    if (ZonesUnderNotice.insert(zone).second)
+      NoticeTimes.push_back(now);
   }
-  Notices.erase(std::remove_if(Notices.begin(), Notices.end(),
-                               [&](Instant at) {
-                                 return now - at >= Settings.ScarceMemory;
-                               }),
-                Notices.end());
+  NoticeTimes.erase(std::remove_if(NoticeTimes.begin(), NoticeTimes.end(),
+                                   [&](Instant at) {
+                                     return now - at >= Settings.ScarcityWindow;
+                                   }),
+                    NoticeTimes.end());
 }
 
-/// Reclaimable replicas that may go before others are to be had, by how many
-/// zones have gone lately.
-int ReplicaAutoscaler::coverOf(std::vector<int> reclaimableByZone,
-                               Instant now) const {
+/// The number of reclaimable replicas that may be lost before others become
+/// available: those of as many zones as were reclaimed recently, the largest
+/// first.
+int ReplicaAutoscaler::scarcityReserve(std::vector<int> reclaimableByZone,
+                                       Instant now) const {
   if (!isScarce(now))
     return 0;
   std::sort(reclaimableByZone.rbegin(), reclaimableByZone.rend());
-  const std::size_t zones = std::min(reclaimableByZone.size(),
-                                     std::max<std::size_t>(1, Notices.size()));
+  const std::size_t zones = std::min(
+      reclaimableByZone.size(), std::max<std::size_t>(1, NoticeTimes.size()));
   return std::accumulate(
       reclaimableByZone.begin(),
       reclaimableByZone.begin() + static_cast<std::ptrdiff_t>(zones), 0);
 }
 
-/// What the usable ones of so many zones should have.
-ReplicaAutoscaler::Aim
-ReplicaAutoscaler::aimAt(const std::map<ZoneId, ZoneReplicas> &seen, int zones,
-                         Instant now) {
-  Aim aim;
+/// The target counts for the usable zones, out of `zones` in all.
+ReplicaAutoscaler::TargetCounts
+ReplicaAutoscaler::computeTargets(const std::map<ZoneId, ZoneReplicas> &seen,
+                                  int zones, Instant now) {
+  TargetCounts targets;
   if (Bounds.ReclaimablePrice >= 1) {
-    aim.OnDemand = Kept;
-    return aim;
+    targets.OnDemand = PlannedReplicas;
+    return targets;
   }
-  // One zone may lose its replicas at any time; one that is evacuated has.
+  // Any one zone may lose its replicas at any time; an evacuated one already
+  // has.
   const int left = std::clamp(zones - 1, 1, static_cast<int>(seen.size()));
-  aim.ReclaimablePerZone =
-      std::clamp((Kept + left - 1) / left, std::max(1, Bounds.MinReplicas),
-                 Bounds.MaxReplicas);
-  rememberNotices(seen, now);
-  std::vector<int> coming;
-  coming.reserve(seen.size());
+  targets.ReclaimablePerZone =
+      std::clamp((PlannedReplicas + left - 1) / left,
+                 std::max(1, Bounds.MinReplicas), Bounds.MaxReplicas);
+  recordNotices(seen, now);
+  std::vector<int> expectedReplicas;
+  expectedReplicas.reserve(seen.size());
   for (const auto &[zone, it] : seen)
-    coming.push_back(it.HasReclaimNotice
-                         ? it.Reclaimable
-                         : expected(zone, true, it.Reclaimable, now));
-  const int all = std::accumulate(coming.begin(), coming.end(), 0);
-  aim.OnDemand = std::max(0, assured() - all + coverOf(coming, now));
-  return aim;
+    expectedReplicas.push_back(it.HasReclaimNotice
+                                   ? it.Reclaimable
+                                   : expected(zone, true, it.Reclaimable, now));
+  const int all =
+      std::accumulate(expectedReplicas.begin(), expectedReplicas.end(), 0);
+  targets.OnDemand =
+      std::max(0, assured() - all + scarcityReserve(expectedReplicas, now));
+  return targets;
 }
 
-/// On-demand replicas by zone: those that are there stay, others come where
-/// they are cheapest.
-std::map<ZoneId, int>
-ReplicaAutoscaler::spreadOnDemand(const std::map<ZoneId, ZoneReplicas> &seen,
-                                  int count) const {
+/// On-demand replicas by zone: existing ones stay, further ones go to the
+/// cheapest zones.
+std::map<ZoneId, int> ReplicaAutoscaler::distributeOnDemand(
+    const std::map<ZoneId, ZoneReplicas> &seen, int count) const {
   std::map<ZoneId, int> out;
   std::vector<std::pair<double, ZoneId>> byPrice;
   for (const auto &[zone, it] : seen) {
@@ -226,7 +238,8 @@
     out[zone] = std::min(left, seen.at(zone).OnDemand);
     left -= out[zone];
   }
-  // Then one in each zone by turns, so that no zone's trouble takes them all.
+  // The rest goes to the zones in turn, so that the loss of one zone does not
+  // take all of them.
   bool isPlaced = true;
   while (left > 0 && isPlaced) {
     isPlaced = false;
@@ -248,8 +261,8 @@
                           const ServiceLoad &load, Instant now) {
   if (seen.empty())
     return {};
-  // What stands in an evacuated zone serves nobody, and is left as it is: it
-  // may be needed again at any moment.
+  // Replicas in an evacuated zone serve no calls but stay as they are, since
+  // they may be needed again at any moment.
   std::map<ZoneId, ZoneReplicas> usable;
   int serving = 0;
   for (const auto &[zone, it] : seen) {
@@ -258,8 +271,8 @@
     usable[zone] = it;
     serving += it.OnDemand + it.Reclaimable;
   }
-  rememberPeak(load, serving, now);
-  keepLevel(seen, now);
+  recordPeak(load, serving, now);
+  updatePlannedReplicas(seen, now);
   if (usable.empty())
     return {};
   return ordersIn(service, usable, static_cast<int>(seen.size()), now);
@@ -273,47 +286,52 @@
   int serving = 0;
   for (const auto &[zone, it] : seen)
     serving += it.OnDemand + it.Reclaimable;
-  const Aim aim = aimAt(seen, zones, now);
+  const TargetCounts targets = computeTargets(seen, zones, now);
   int onDemand = 0;
-  std::map<ZoneId, ZoneReplicas> coming = seen;
-  for (auto &[zone, it] : coming) {
+  std::map<ZoneId, ZoneReplicas> expectedReplicas = seen;
+  for (auto &[zone, it] : expectedReplicas) {
     it.OnDemand = expected(zone, false, it.OnDemand, now);
     onDemand += it.OnDemand;
   }
   for (const auto &[zone, it] : seen) {
-    const int room = std::max(0, Bounds.MaxReplicas - it.OnDemand);
-    // One that is sent away now may not be had again.
-    const int least = isScarce(now) ? it.Reclaimable : 0;
+    const int zoneCapacity = std::max(0, Bounds.MaxReplicas - it.OnDemand);
+    // A replica that is removed now might not be available again.
+    const int minimumCount = isScarce(now) ? it.Reclaimable : 0;
     if (!it.HasReclaimNotice && Bounds.ReclaimablePrice < 1)
-      add(out, service, zone, true,
-          std::min(std::max(least, aim.ReclaimablePerZone), room),
-          it.Reclaimable, now);
+      addOrder(out, service, zone, true,
+               std::min(std::max(minimumCount, targets.ReclaimablePerZone),
+                        zoneCapacity),
+               it.Reclaimable, now);
   }
-  if (aim.OnDemand >= onDemand) {
-    OnDemandLowSince = now;
-    if (aim.OnDemand == onDemand)
+  if (targets.OnDemand >= onDemand) {
+    OnDemandSurplusSince = now;
+    if (targets.OnDemand == onDemand)
       return out;
   }
-  // They go only once others serve in their place, and not for a moment's lull.
+  // On-demand replicas are removed only once others serve in their place, and
+  // not during a short lull.
   const bool mayShrink =
-      serving - (onDemand - aim.OnDemand) >= assured() &&
-      (aim.OnDemand > onDemand ||
-       now - OnDemandLowSince >
-           (LoadSince == Instant{} ? Duration::zero() : Settings.ShrinkPause));
-  if (aim.OnDemand < onDemand && !mayShrink)
+      serving - (onDemand - targets.OnDemand) >= assured() &&
+      (targets.OnDemand > onDemand ||
+       now - OnDemandSurplusSince > (LoadSince == Instant{}
+                                         ? Duration::zero()
+                                         : Settings.ScaleDownDelay));
+  if (targets.OnDemand < onDemand && !mayShrink)
     return out;
-  for (const auto &[zone, count] : spreadOnDemand(coming, aim.OnDemand)) {
+  for (const auto &[zone, count] :
+       distributeOnDemand(expectedReplicas, targets.OnDemand)) {
     const ZoneReplicas &it = seen.at(zone);
-    const int least = std::max(0, Bounds.MinReplicas - it.Reclaimable);
-    add(out, service, zone, false,
-        std::max(count, std::min(least, it.OnDemand)), it.OnDemand, now);
+    const int minimumCount = std::max(0, Bounds.MinReplicas - it.Reclaimable);
+    addOrder(out, service, zone, false,
+             std::max(count, std::min(minimumCount, it.OnDemand)), it.OnDemand,
+             now);
   }
   return out;
 }
 
 void ReplicaAutoscaler::noteResult(const ReplicaOrder &order,
                                    CloudResult result, Instant now) {
-  Ordered &last = Last[{order.Zone, order.IsReclaimable}];
+  LastOrder &last = LastOrders[{order.Zone, order.IsReclaimable}];
   if (result == CloudResult::Accepted) {
     last.Count = order.Count;
     last.At = now;
@@ -322,7 +340,7 @@
   }
   last.RefusedAt = now;
   if (order.IsReclaimable && result == CloudResult::NoneAvailable)
-    ScarceSince = now;
+    LastScarceAt = now;
 }
 
 } // namespace sorrelbay
--- a/Libraries/LibServing/ReplicaAutoscaler.h
+++ b/Libraries/LibServing/ReplicaAutoscaler.h
@@ -10,138 +10,149 @@
 
 namespace sorrelbay {
 
-/// Replicas of one service in one zone, as their entries show them.
+/// Replicas of one service in one zone, counted from their registrations.
 struct ZoneReplicas {
-  /// Serving, not leaving.
+  /// Replicas that are not leaving.
   int OnDemand = 0;
   int Reclaimable = 0;
-  /// Reclaimable ones have been given notice here and are not yet gone.
+  /// Reclaimable replicas of the zone have a reclaim notice and are not gone
+  /// yet.
   bool HasReclaimNotice = false;
-  /// Its replicas get no calls for as long as operators say so.
+  /// Operators have evacuated the zone: its replicas get no calls until the
+  /// evacuation ends.
   bool IsEvacuated = false;
 };
 
-/// The load that a service carries now, over all hosts.
+/// The current load of a service, summed over all hosts.
 struct ServiceLoad {
-  /// Calls that are open at its replicas.
+  /// Calls in progress at its replicas.
   int OpenCalls = 0;
-  /// Tokens of their prompts and of the longest answers they may get.
+  /// Prompt tokens of these calls plus their maximum output tokens.
   std::int64_t OpenTokens = 0;
-  /// Engine time that callers ask for, in seconds a second.
+  /// Engine time that arriving calls need, in seconds per second.
   double EngineSeconds = 0;
 };
 
 struct ReplicaAutoscalerSettings {
-  /// The part of its places, and of its memory, that a replica should have in
-  /// use; above it first tokens get late.
-  double CallShare = 0.28;
-  double TokenShare = 0.36;
-  /// The part of its time that a replica should spend on reading prompts. The
-  /// rest is for the steps between and for arrivals that come in clumps.
+  /// Target share of a replica's slots in use, 0 to 1. Above it, first tokens
+  /// are late.
+  double TargetSlotShare = 0.28;
+  /// Target share of a replica's memory in use, 0 to 1. Above it, first tokens
+  /// are late.
+  double TargetMemoryShare = 0.36;
+  /// Target share of a replica's time spent on prefill, 0 to 1. The rest is
+  /// left for decoding steps and for bursts of arrivals.
   double TargetPrefillShare = 0.4;
-  /// On-demand replicas stand in for reclaimable ones up to this part of what
-  /// is provided for: they cost several times as much, and a fuller replica is
-  /// late for few.
-  double OnDemandShare = 0.65;
-  /// The load is taken as the highest of this time, so that a short lull
-  /// doesn't send replicas away that take seconds to come back.
-  Duration PeakMemory = seconds(12);
-  /// While replicas are missing the load counts for this much more than is
-  /// provided for, at the most.
-  double GrowthWhileShort = 1.34;
-  /// A zone whose reclaimable replicas were reclaimed, or that had none to
-  /// give, isn't asked again before that.
-  Duration RefusedPause = milliseconds(1500);
-  /// Until the load has been seen for as long as its peaks are remembered,
-  /// on-demand replicas are provided for so many times what it needs.
-  double UnseenGrowth = 2;
-  /// Where reclaimable replicas were refused or reclaimed within that time they
-  /// are scarce: on-demand ones then cover the loss of as many further zones as
-  /// were reclaimed in it, and of one at least.
-  Duration ScarceMemory = seconds(15);
-  /// More replicas than needed are sent away only after so long.
-  Duration ShrinkPause = seconds(8);
+  /// On-demand replicas replace missing reclaimable ones up to this share of
+  /// the replicas that the load needs, 0 to 1. They cost several times as much,
+  /// and replicas above their target load are late for only a few calls.
+  double OnDemandCoverage = 0.65;
+  /// The load is the peak over this time, so that a short lull does not remove
+  /// replicas that take seconds to start again.
+  Duration PeakWindow = seconds(12);
+  /// While replicas are missing, the number of replicas needed is capped at
+  /// this multiple of the number provided for when the shortage began.
+  double MaxGrowthWhileShort = 1.34;
+  /// After the cloud has not accepted an order for one kind of replica in a
+  /// zone, no further order of that kind goes to the zone for this time.
+  Duration RefusalBackoff = milliseconds(1500);
+  /// Until the load has been observed for longer than `PeakWindow`, on-demand
+  /// replicas are provided for this multiple of what it needs.
+  double UnobservedLoadFactor = 2;
+  /// Reclaimable replicas count as scarce for this time after they were refused
+  /// or reclaimed. On-demand replicas then cover the loss of as many further
+  /// zones as were reclaimed within this time, and of at least one.
+  Duration ScarcityWindow = seconds(15);
+  /// Surplus replicas are removed only after this time.
+  Duration ScaleDownDelay = seconds(8);
 };
 
-/// Decides how many replicas of each kind a service has in each zone: as few as
-/// carry the load when zones lose their reclaimable ones, reclaimable ones
-/// where they are cheaper, on-demand ones only until those have come. Belongs
-/// to the holder of the duty; a new holder begins with what it sees.
+/// Decides how many replicas of each kind a service has in each zone: the
+/// fewest that carry the load if zones lose their reclaimable replicas;
+/// reclaimable ones where they are cheaper, on-demand ones only until
+/// reclaimable ones have started. Run only by the holder of the lease; a new
+/// holder starts from the replicas that it observes.
 class ReplicaAutoscaler {
 public:
   explicit ReplicaAutoscaler(ScalingBounds bounds, EngineShape engine,
                              ReplicaAutoscalerSettings settings = {});
 
-  /// The orders that are due, by what is seen now. An order that was accepted
-  /// is not given again until another is needed.
+  /// The orders that are due for the observed replicas and load. An accepted
+  /// order is repeated only if its replicas do not appear in time.
   std::vector<ReplicaOrder> orders(const ServiceId &service,
                                    const std::map<ZoneId, ZoneReplicas> &seen,
                                    const ServiceLoad &load, Instant now);
   void noteResult(const ReplicaOrder &order, CloudResult result, Instant now);
-  /// Replicas that the load needs.
+  /// The number of replicas that the load needs.
   int needed() const { return Needed; }
-  /// Replicas that are made sure of with on-demand ones.
+  /// The number of replicas that is guaranteed, with on-demand ones if
+  /// necessary.
   int assured() const;
 
 private:
-  using Place = std::pair<ZoneId, bool>;
-  struct Ordered {
+  using ZoneAndKind = std::pair<ZoneId, bool>;
+  struct LastOrder {
     int Count = -1;
     Instant At{};
     Instant RefusedAt{};
   };
 
-  /// What the next orders aim at.
-  struct Aim {
+  /// The counts that the next orders are to reach.
+  struct TargetCounts {
     int ReclaimablePerZone = 0;
     int OnDemand = 0;
   };
 
   int replicasFor(const ServiceLoad &load) const;
   bool isScarce(Instant now) const;
-  bool knowsLoad(Instant now) const;
-  void rememberPeak(const ServiceLoad &load, int serving, Instant now);
-  void takeOver(const std::map<ZoneId, ZoneReplicas> &seen, Instant now);
-  void keepLevel(const std::map<ZoneId, ZoneReplicas> &seen, Instant now);
-  void rememberNotices(const std::map<ZoneId, ZoneReplicas> &seen, Instant now);
-  int coverOf(std::vector<int> reclaimableByZone, Instant now) const;
-  Aim aimAt(const std::map<ZoneId, ZoneReplicas> &seen, int zones, Instant now);
+  bool isLoadKnown(Instant now) const;
+  void recordPeak(const ServiceLoad &load, int serving, Instant now);
+  void adoptExisting(const std::map<ZoneId, ZoneReplicas> &seen, Instant now);
+  void updatePlannedReplicas(const std::map<ZoneId, ZoneReplicas> &seen,
+                             Instant now);
+  void recordNotices(const std::map<ZoneId, ZoneReplicas> &seen, Instant now);
+  int scarcityReserve(std::vector<int> reclaimableByZone, Instant now) const;
+  TargetCounts computeTargets(const std::map<ZoneId, ZoneReplicas> &seen,
+                              int zones, Instant now);
   std::vector<ReplicaOrder> ordersIn(const ServiceId &service,
                                      const std::map<ZoneId, ZoneReplicas> &seen,
                                      int zones, Instant now);
   int expected(const ZoneId &zone, bool isReclaimable, int seen,
                Instant now) const;
   std::map<ZoneId, int>
-  spreadOnDemand(const std::map<ZoneId, ZoneReplicas> &seen, int count) const;
-  void add(std::vector<ReplicaOrder> &out, const ServiceId &service,
-           const ZoneId &zone, bool isReclaimable, int count, int seen,
-           Instant now);
+  distributeOnDemand(const std::map<ZoneId, ZoneReplicas> &seen,
+                     int count) const;
+  void addOrder(std::vector<ReplicaOrder> &out, const ServiceId &service,
+                const ZoneId &zone, bool isReclaimable, int count, int seen,
+                Instant now);
 
   ScalingBounds Bounds;
   EngineShape Engine;
   ReplicaAutoscalerSettings Settings;
   std::vector<std::pair<Instant, int>> Peaks;
-  std::map<Place, Ordered> Last;
+  std::map<ZoneAndKind, LastOrder> LastOrders;
   int Needed = 0;
-  /// What is provided for: grows at once, shrinks late.
-  int Kept = 0;
-  /// Of that, what the load is known to need: on-demand replicas cost several
-  /// times as much, and stand in for no more than this.
-  int Certain = 0;
-  /// Since when replicas are missing, and what was provided for then.
+  /// The number of replicas to provide for. Grows at once and shrinks after
+  /// `ScaleDownDelay`.
+  int PlannedReplicas = 0;
+  /// The part of `PlannedReplicas` that the load is known to need. On-demand
+  /// replicas, which cost several times as much, replace no more than this.
+  int KnownNeed = 0;
+  /// When replicas began to be missing; zero if none are.
   Instant ShortSince{};
-  int KeptBefore = 0;
-  /// Until calls have been seen for a while the replicas that were there at
-  /// first are the best guess.
-  bool HasSeen = false;
+  /// The value of `PlannedReplicas` when the shortage began.
+  int PlannedBeforeShortage = 0;
+  /// Whether any replicas have been observed. Until calls have been observed,
+  /// the initial replicas are the best estimate of what is needed.
+  bool HasSeenReplicas = false;
   Instant LoadSince{};
-  Instant LowSince{};
-  Instant ScarceSince{};
-  /// Zones whose reclaimable replicas are under notice, and when each of the
-  /// last notices was first seen.
-  std::set<ZoneId> UnderNotice;
-  std::vector<Instant> Notices;
-  Instant OnDemandLowSince{};
+  Instant SurplusSince{};
+  Instant LastScarceAt{};
+  /// Zones whose reclaimable replicas have a reclaim notice.
+  std::set<ZoneId> ZonesUnderNotice;
+  /// When each notice of the last `ScarcityWindow` was first seen.
+  std::vector<Instant> NoticeTimes;
+  Instant OnDemandSurplusSince{};
 };
 
 } // namespace sorrelbay
--- a/Libraries/LibServing/ReplicaRecord.h
+++ b/Libraries/LibServing/ReplicaRecord.h
@@ -7,10 +7,10 @@
 
 namespace sorrelbay {
 
-/// One upstream as it has registered itself.
+/// An upstream's registration, written by the upstream itself.
 struct ReplicaRecord {
-  /// Names one life of the upstream; another one at the same address has
-  /// another.
+  /// Identifies one incarnation of the upstream; another incarnation at the
+  /// same address has another id.
   UpstreamId Id;
   ServiceId OfService;
   VersionId OfVersion;
@@ -20,18 +20,19 @@
   int Slots = 1;
   bool IsLeaving = false;
   bool IsReclaimable = false;
-  /// It has just started and is slow for so long; more than its service's cold
-  /// rate makes it crash.
+  /// Time for which the upstream, just started, is still slow. More calls than
+  /// its service's cold rate make it crash.
   Duration ColdDuration{};
-  /// Set when a leaving one says how soon it is gone.
+  /// Time until a leaving upstream is gone, if it reports it.
   std::optional<Duration> LeavesIn;
-  /// When this life began, in milliseconds since 1970 by the upstream's clock;
-  /// 0 if it doesn't say.
+  /// When this incarnation started, in milliseconds since 1970 by the
+  /// upstream's clock; 0 if not reported.
   std::int64_t StartedMs = 0;
 };
 
-/// Whether the cloud takes the replica back. One that was sent away leaves,
-/// too, but says nothing of what others may expect.
+/// Whether the cloud is reclaiming the replica. A replica that was removed by
+/// scaling down is leaving, too, but does not indicate that others will be
+/// reclaimed.
 inline bool hasReclaimNotice(const ReplicaRecord &record) {
   return record.IsLeaving && record.IsReclaimable &&
          record.LeavesIn.has_value();
--- a/Libraries/LibServing/ReplicaTable.cpp
+++ b/Libraries/LibServing/ReplicaTable.cpp
@@ -5,19 +5,21 @@
 
 namespace sorrelbay {
 
-/// Sends after which the failure share is believed.
-static constexpr double EnoughSeen = 3;
-static constexpr double MostSeen = 20;
-/// What an upstream in another zone counts as more, in open calls.
-static constexpr double OtherZoneCalls = 0.5;
-/// More hosts than that hear of each other through others.
+/// Sends before which an upstream's failure share is not relied on.
+static constexpr double MinSendsSeen = 3;
+/// Upper bound of the number of sends that a failure share covers.
+static constexpr double MaxSendsSeen = 20;
+/// Additional cost of an upstream in another zone, in open calls.
+static constexpr double OtherZonePenalty = 0.5;
+/// With more hosts than this, hosts receive each other's reports indirectly.
 static constexpr int ManyHosts = 16;
-/// Decides between equals and is less than any difference.
-static constexpr double DrawWeight = 0.1;
-/// An upstream counts as cold for a little longer than it says.
+/// Breaks ties; smaller than any difference in cost.
+static constexpr double TieBreakWeight = 0.1;
+/// An upstream counts as cold for this much longer than it reports.
 static constexpr Duration ColdMargin = milliseconds(100);
-/// How much of a conversation's shared parts its home is taken to have cached.
-static constexpr double HomeCached = 0.97;
+/// The share of a conversation's common parts that its affinity upstream is
+/// assumed to have cached.
+static constexpr double AffinityCachedShare = 0.97;
 
 ReplicaTable::ReplicaTable(ReplicaTableSettings settings)
     : Settings(settings) {}
@@ -28,14 +30,14 @@
                                 : Instant{};
   const auto found = Entries.find(record.Id);
   if (found != Entries.end()) {
-    const bool isAnotherLife =
+    const bool isNewIncarnation =
         found->second.Record.StartedMs != record.StartedMs;
     found->second.Record = record;
     found->second.ColdUntil = coldUntil;
-    if (isAnotherLife) {
-      // It knows nothing of before, also not of its failures.
+    if (isNewIncarnation) {
+      // A new incarnation does not inherit the failures of the one before.
       found->second.FailureShare = 0;
-      found->second.Seen = 0;
+      found->second.SendsSeen = 0;
       found->second.EjectedUntil = {};
     }
     return;
@@ -108,12 +110,12 @@
   Evacuated.erase(zone);
   for (auto &[id, entry] : Entries)
     if (entry.Record.InZone == zone)
-      entry.DoubtedAt = now;
+      entry.AssumedColdAt = now;
 }
 
 bool ReplicaTable::isCold(const Entry &entry, Instant now) const {
-  return now < entry.ColdUntil ||
-         (entry.DoubtedAt != Instant{} && ConfirmedAt <= entry.DoubtedAt);
+  return now < entry.ColdUntil || (entry.AssumedColdAt != Instant{} &&
+                                   ConfirmedAt <= entry.AssumedColdAt);
 }
 
 int ReplicaTable::cold(const ServiceId &service, Instant now) const {
@@ -125,23 +127,25 @@
       }));
 }
 
-/// Whether the upstream is warm, or this host has some of its cold rate left.
-bool ReplicaTable::hasColdRoom(Entry &entry, Instant now) {
+/// Whether the upstream is warm, or this host may send it another call within
+/// its share of the cold rate.
+bool ReplicaTable::hasColdCapacity(Entry &entry, Instant now) {
   const auto rate = ColdRates.find(entry.Record.OfService);
   if (rate == ColdRates.end() || rate->second <= 0 || !isCold(entry, now))
     return true;
   if (!entry.ColdShare)
     entry.ColdShare = coldRateShare(entry.Record.Id, Self, Hosts, rate->second);
-  return entry.Allowance.hasRoom(*entry.ColdShare, now);
+  return entry.ColdLimiter.hasRoom(*entry.ColdShare, now);
 }
 
-bool ReplicaTable::isHome(const ZoneId &zone,
-                          const std::vector<std::string> &homes) const {
-  if (homes.empty())
+bool ReplicaTable::isInAllowedRegion(
+    const ZoneId &zone, const std::vector<std::string> &allowedRegions) const {
+  if (allowedRegions.empty())
     return true;
   const auto region = RegionOf.find(zone);
   return region != RegionOf.end() &&
-         std::find(homes.begin(), homes.end(), region->second) != homes.end();
+         std::find(allowedRegions.begin(), allowedRegions.end(),
+                   region->second) != allowedRegions.end();
 }
 
 bool ReplicaTable::fits(const Entry &entry,
@@ -151,12 +155,12 @@
   return entry.Record.OfService == request.ForService &&
          !entry.Record.IsLeaving && !wasTried &&
          !isEvacuated(entry.Record.InZone) &&
-         isHome(entry.Record.InZone, request.RouteRegions) &&
-         isHome(entry.Record.InZone, request.TeamRegions) &&
+         isInAllowedRegion(entry.Record.InZone, request.RouteRegions) &&
+         isInAllowedRegion(entry.Record.InZone, request.TeamRegions) &&
          allowsVersion(entry.Record.OfVersion, request.Version);
 }
 
-/// What a call's conversation is known by; empty if it belongs to none.
+/// The id of a call's conversation; empty if it belongs to none.
 static std::string conversationOf(const std::vector<PromptPart> &prompt) {
   if (prompt.empty())
     return "";
@@ -165,60 +169,62 @@
 
 std::optional<ReplicaChoice> ReplicaTable::choose(const ReplicaRequest &request,
                                                   Instant now) {
-  auto chosen = chooseOf(request, now);
-  if (chosen || request.Version.First.empty())
+  auto chosen = chooseOfVersion(request, now);
+  if (chosen || request.Version.Preferred.empty())
     return chosen;
-  ReplicaRequest ofAny = request;
-  ofAny.Version.First = VersionId();
-  return chooseOf(ofAny, now);
+  ReplicaRequest anyVersion = request;
+  anyVersion.Version.Preferred = VersionId();
+  return chooseOfVersion(anyVersion, now);
 }
 
-/// The upstreams that may take the call; if all that could have failed lately,
-/// those, because better one that may fail than none.
+/// The upstreams that may take the call. If all of them are ejected or being
+/// probed, those: an upstream that may fail is better than none.
 std::vector<ReplicaTable::Entry *>
-ReplicaTable::ableTo(const ReplicaRequest &request, Instant now) {
-  std::vector<Entry *> able;
-  std::vector<Entry *> doubtful;
+ReplicaTable::eligibleUpstreams(const ReplicaRequest &request, Instant now) {
+  std::vector<Entry *> eligible;
+  std::vector<Entry *> unhealthy;
   for (auto &[id, entry] : Entries) {
-    if (!fits(entry, request) || !hasColdRoom(entry, now))
+    if (!fits(entry, request) || !hasColdCapacity(entry, now))
       continue;
-    const bool isSound = now >= entry.EjectedUntil && !entry.IsProbed;
-    (isSound ? able : doubtful).push_back(&entry);
+    const bool isHealthy = now >= entry.EjectedUntil && !entry.IsBeingProbed;
+    (isHealthy ? eligible : unhealthy).push_back(&entry);
   }
-  return able.empty() ? doubtful : able;
+  return eligible.empty() ? unhealthy : eligible;
 }
 
-/// Two upstreams that the call's seed draws.
+/// Two upstreams, selected pseudo-randomly by the call's seed.
 std::vector<ReplicaTable::Entry *>
-ReplicaTable::drawTwo(std::vector<Entry *> able, std::uint64_t seed) {
-  const auto draw = [&](const Entry *it) {
+ReplicaTable::sampleTwo(std::vector<Entry *> eligible, std::uint64_t seed) {
+  const auto sampleKey = [&](const Entry *it) {
     return stableHash(it->Record.Id.text(), seed);
   };
-  if (able.size() <= 2)
-    return able;
-  std::partial_sort(
-      able.begin(), able.begin() + 2, able.end(),
-      [&](const Entry *a, const Entry *b) { return draw(a) < draw(b); });
-  able.resize(2);
-  return able;
-}
-
-/// The one with least to do, in the own zone where that is equal. Beside many
-/// hosts that hear of each other's calls only when these have long ended it is
-/// the better one of two: all would choose the same best one until they hear of
-/// it.
+  if (eligible.size() <= 2)
+    return eligible;
+  std::partial_sort(eligible.begin(), eligible.begin() + 2, eligible.end(),
+                    [&](const Entry *a, const Entry *b) {
+                      return sampleKey(a) < sampleKey(b);
+                    });
+  eligible.resize(2);
+  return eligible;
+}
+
+/// The upstream with the fewest open calls; on a tie, one in this host's own
+/// zone. With many hosts, whose reports of calls arrive after these have ended,
+/// it is the better one of two random upstreams: otherwise all hosts would
+/// choose the same one until the next reports.
 ReplicaTable::Entry *ReplicaTable::leastBusy(const std::vector<Entry *> &all,
                                              const ReplicaRequest &request) {
   Entry *best = nullptr;
   double bestCost = std::numeric_limits<double>::max();
   const bool isOneOfMany = request.Hosts > ManyHosts;
-  const auto able = isOneOfMany ? drawTwo(all, request.Seed) : all;
-  for (Entry *it : able) {
-    const std::uint64_t draw = stableHash(it->Record.Id.text(), request.Seed);
+  const auto eligible = isOneOfMany ? sampleTwo(all, request.Seed) : all;
+  for (Entry *it : eligible) {
+    const std::uint64_t tieBreak =
+        stableHash(it->Record.Id.text(), request.Seed);
     const double zone =
-        it->Record.InZone == request.OwnZone ? 0 : OtherZoneCalls;
+        it->Record.InZone == request.OwnZone ? 0 : OtherZonePenalty;
     const double cost = it->Own.Calls + it->Peers.Calls + zone +
-                        DrawWeight * hashFraction(draw);
+                        TieBreakWeight * hashFraction(tieBreak);
     if (cost < bestCost) {
       bestCost = cost;
       best = it;
@@ -227,59 +233,63 @@
   return best;
 }
 
-/// Prompt tokens that the upstream would have to read. A part is cached only
-/// where all parts before it are; the last one is the call's own.
-double ReplicaTable::tokensToRead(const Candidate &it,
-                                  const ReplicaRequest &request, bool isHome,
-                                  std::size_t upstreams, Instant now) const {
+/// Prompt tokens that the upstream would have to prefill. A part counts as
+/// cached only if all parts before it are; the last part is the call's own.
+double ReplicaTable::tokensToPrefill(const Candidate &it,
+                                     const ReplicaRequest &request,
+                                     bool isAffinityUpstream,
+                                     std::size_t upstreams, Instant now) const {
   auto left = static_cast<double>(request.PromptTokens);
-  double isCached = 1;
+  double cachedShare = 1;
   for (std::size_t n = 0; n + 1 < request.Prompt.size(); ++n) {
     const PromptPart &part = request.Prompt[n];
-    const double here =
-        isHome ? HomeCached
-               : Cached.likelihood(it.Place->Record.Id, part.Id, request.Hosts,
-                                   static_cast<double>(upstreams), now);
-    isCached *= here;
-    left -= isCached * static_cast<double>(part.Tokens);
+    const double partLikelihood =
+        isAffinityUpstream
+            ? AffinityCachedShare
+            : Cached.likelihood(it.CandidateEntry->Record.Id, part.Id,
+                                request.Hosts, static_cast<double>(upstreams),
+                                now);
+    cachedShare *= partLikelihood;
+    left -= cachedShare * static_cast<double>(part.Tokens);
   }
   return std::max(0.0, left);
 }
 
 std::vector<ReplicaTable::Candidate>
-ReplicaTable::candidates(const std::vector<Entry *> &able,
+ReplicaTable::candidates(const std::vector<Entry *> &eligible,
                          const ReplicaRequest &request, Instant now) {
   const EngineModel &model = Models[request.ForService];
   const std::uint64_t conversation = stableHash(conversationOf(request.Prompt));
   std::vector<Candidate> out;
-  std::uint64_t homeDraw = 0;
-  for (Entry *it : able) {
+  std::uint64_t highestRank = 0;
+  for (Entry *it : eligible) {
     Candidate candidate;
-    candidate.Place = it;
-    candidate.Draw = stableHash(it->Record.Id.text(), conversation);
-    homeDraw = std::max(homeDraw, candidate.Draw);
+    candidate.CandidateEntry = it;
+    candidate.HashRank = stableHash(it->Record.Id.text(), conversation);
+    highestRank = std::max(highestRank, candidate.HashRank);
     out.push_back(candidate);
   }
   for (Candidate &it : out) {
-    const OutstandingWork &own = it.Place->Own;
-    const OutstandingWork &peers = it.Place->Peers;
-    const double slowness = model.slownessOf(it.Place->Record.Id, now);
-    it.TokensToPrefill =
-        tokensToRead(it, request, it.Draw == homeDraw, out.size(), now);
+    const OutstandingWork &own = it.CandidateEntry->Own;
+    const OutstandingWork &peers = it.CandidateEntry->Peers;
+    const double slowness = model.slownessOf(it.CandidateEntry->Record.Id, now);
+    it.TokensToPrefill = tokensToPrefill(
+        it, request, it.HashRank == highestRank, out.size(), now);
     it.Ahead = static_cast<double>(own.PromptTokens + peers.PromptTokens);
     it.Wait = slowness * model.prefillTime(it.Ahead);
-    const double reading = slowness * model.prefillTime(it.TokensToPrefill);
-    it.FirstToken = slowness * model.base() + it.Wait + reading;
-    it.Cost = it.Wait + Settings.PrefillWeight * reading +
+    const double prefillCost = slowness * model.prefillTime(it.TokensToPrefill);
+    it.FirstToken = slowness * model.base() + it.Wait + prefillCost;
+    it.Cost = it.Wait + Settings.PrefillWeight * prefillCost +
               slowness * (model.base() +
                           Settings.OpenCallWeight * (own.Calls + peers.Calls));
   }
   return out;
 }
 
-/// The cheapest, or the first in the conversation's order of those that are as
-/// good: hosts hear of each other's sends late, and would all choose the same
-/// upstream at the same time.
+/// The candidate with the lowest cost, or the first in the conversation's
+/// rendezvous hashing order among those within the cost tolerance: hosts
+/// receive reports of each other's sends late, and would otherwise all choose
+/// the same upstream at the same time.
 const ReplicaTable::Candidate &
 ReplicaTable::bestOf(const std::vector<Candidate> &all) const {
   double least = std::numeric_limits<double>::max();
@@ -289,24 +299,24 @@
       least * (1 + Settings.CostToleranceShare) + Settings.CostTolerance;
   const Candidate *best = nullptr;
   for (const Candidate &it : all)
-    if (it.Cost <= allowed && (!best || it.Draw > best->Draw))
+    if (it.Cost <= allowed && (!best || it.HashRank > best->HashRank))
       best = &it;
   return *best;
 }
 
 std::optional<ReplicaChoice>
-ReplicaTable::chooseOf(const ReplicaRequest &request, Instant now) {
-  const std::vector<Entry *> able = ableTo(request, now);
-  if (able.empty())
+ReplicaTable::chooseOfVersion(const ReplicaRequest &request, Instant now) {
+  const std::vector<Entry *> eligible = eligibleUpstreams(request, now);
+  if (eligible.empty())
     return std::nullopt;
   ReplicaChoice choice;
   if (request.Prompt.empty()) {
-    choice.Id = leastBusy(able, request)->Record.Id;
+    choice.Id = leastBusy(eligible, request)->Record.Id;
     return choice;
   }
-  const std::vector<Candidate> all = candidates(able, request, now);
+  const std::vector<Candidate> all = candidates(eligible, request, now);
   const Candidate &best = bestOf(all);
-  choice.Id = best.Place->Record.Id;
+  choice.Id = best.CandidateEntry->Record.Id;
   choice.TokensToPrefill = static_cast<std::int64_t>(best.TokensToPrefill);
   choice.Ahead = static_cast<std::int64_t>(best.Ahead);
   choice.Wait = fromSeconds(best.Wait / 1000);
@@ -333,13 +343,13 @@
   const auto it = Entries.find(id);
   if (it == Entries.end())
     return;
-  // The first call after an ejection shows whether it works again; until it has
-  // ended no other goes there.
+  // The first call after an ejection is a probe: until it has ended, the
+  // upstream gets no other call if there are healthy ones.
   Entry &entry = it->second;
-  if (entry.LastEjection > Duration::zero() && entry.Seen == 0)
-    entry.IsProbed = true;
+  if (entry.LastEjection > Duration::zero() && entry.SendsSeen == 0)
+    entry.IsBeingProbed = true;
   if (isCold(entry, now))
-    entry.Allowance.note(now);
+    entry.ColdLimiter.note(now);
   ++it->second.Own.Calls;
   it->second.Own.PromptTokens += work.PromptTokens;
   it->second.Own.Tokens += work.Tokens;
@@ -363,7 +373,7 @@
     entry.Own.PromptTokens -= work.PromptTokens;
   entry.Own.Tokens = std::max<std::int64_t>(0, entry.Own.Tokens - work.Tokens);
   entry.Own.PromptTokens = std::max<std::int64_t>(0, entry.Own.PromptTokens);
-  judge(entry, result, now);
+  updateHealth(entry, result, now);
 }
 
 double ReplicaTable::othersFailureShare(const Entry &entry) const {
@@ -378,35 +388,35 @@
   return n == 0 ? 1 : sum / n;
 }
 
-void ReplicaTable::judge(Entry &entry, SendResult result, Instant now) {
+void ReplicaTable::updateHealth(Entry &entry, SendResult result, Instant now) {
   if (result == SendResult::Inconclusive) {
-    entry.IsProbed = false;
+    entry.IsBeingProbed = false;
     return;
   }
   const bool isBad =
       result == SendResult::Failed || result == SendResult::Broken;
-  const double memory = result == SendResult::Broken
-                            ? Settings.FailureMemory * 0.8
-                            : Settings.FailureMemory;
+  const double decay = result == SendResult::Broken
+                           ? Settings.FailureShareDecay * 0.8
+                           : Settings.FailureShareDecay;
   entry.FailureShare =
-      memory * entry.FailureShare + (1 - memory) * (isBad ? 1 : 0);
-  entry.Seen = std::min(MostSeen, entry.Seen + 1);
-  if (entry.IsProbed) {
-    entry.IsProbed = false;
+      decay * entry.FailureShare + (1 - decay) * (isBad ? 1 : 0);
+  entry.SendsSeen = std::min(MaxSendsSeen, entry.SendsSeen + 1);
+  if (entry.IsBeingProbed) {
+    entry.IsBeingProbed = false;
     if (!isBad)
       entry.LastEjection = Duration::zero();
     else
-      entry.Seen = EnoughSeen;
+      entry.SendsSeen = MinSendsSeen;
   }
   const double limit = othersFailureShare(entry) + Settings.OutlierMargin;
-  if (!isBad || entry.Seen < EnoughSeen || entry.FailureShare < limit)
+  if (!isBad || entry.SendsSeen < MinSendsSeen || entry.FailureShare < limit)
     return;
   const Duration next =
       std::min(Settings.LongestEjection, entry.LastEjection * 2);
   entry.LastEjection = std::max(Settings.FirstEjection, next);
   entry.EjectedUntil = now + entry.LastEjection;
   entry.FailureShare = limit;
-  entry.Seen = 0;
+  entry.SendsSeen = 0;
 }
 
 void ReplicaTable::notePeer(const SourceId &peer,
--- a/Libraries/LibServing/ReplicaTable.h
+++ b/Libraries/LibServing/ReplicaTable.h
@@ -15,14 +15,14 @@
 
 namespace sorrelbay {
 
-/// Work that is open at one upstream.
+/// Work in progress at one upstream.
 struct OutstandingWork {
-  /// Calls that were sent and have no whole answer.
+  /// Calls that were sent and whose response is not complete.
   int Calls = 0;
-  /// Prompt tokens to be read of those whose first byte has not come.
+  /// Prompt tokens still to be prefilled, of the calls without a first byte.
   std::int64_t PromptTokens = 0;
-  /// Tokens that the calls need in memory at the end: their prompts and the
-  /// longest answers that they may get.
+  /// Memory that the calls need at their end, in tokens: their prompts plus
+  /// their maximum output.
   std::int64_t Tokens = 0;
 
   friend bool operator==(const OutstandingWork &a, const OutstandingWork &b) {
@@ -31,35 +31,37 @@
   }
 };
 
-/// What one call adds to an upstream's work.
+/// What one call adds to an upstream's work in progress.
 struct CallCost {
-  /// Prompt tokens that it is expected to read, without what it has cached.
+  /// Prompt tokens that the upstream is expected to prefill, without cached
+  /// ones.
   std::int64_t PromptTokens = 0;
   std::int64_t Tokens = 0;
 };
 
-/// Which of a service's versions a call goes to.
+/// Which of a service's versions a call may go to.
 struct VersionPreference {
-  /// Goes there if an upstream of it can be had; empty for any.
-  VersionId First;
-  /// Not even if there is no other.
-  VersionId Never;
+  /// Preferred if one of its upstreams is available; empty for any version.
+  VersionId Preferred;
+  /// Excluded even if no other version is available; empty for none.
+  VersionId Excluded;
 
   friend bool operator==(const VersionPreference &a,
                          const VersionPreference &b) {
-    return a.First == b.First && a.Never == b.Never;
+    return a.Preferred == b.Preferred && a.Excluded == b.Excluded;
   }
 };
 
-/// Whether a call with that choice goes to the version.
+/// Whether a call with this choice may go to the version, without falling back
+/// to versions that are not preferred.
 inline bool allowsVersion(const VersionId &version,
                           const VersionPreference &choice) {
-  if (!choice.Never.empty() && version == choice.Never)
+  if (!choice.Excluded.empty() && version == choice.Excluded)
     return false;
-  return choice.First.empty() || version == choice.First;
+  return choice.Preferred.empty() || version == choice.Preferred;
 }
 
-/// What a placement asks for.
+/// The input for choosing an upstream for a call.
 struct ReplicaRequest {
   ServiceId ForService;
   ZoneId OwnZone;
@@ -67,139 +69,153 @@
   std::vector<PromptPart> Prompt;
   std::int64_t PromptTokens = 0;
   VersionPreference Version;
-  /// Regions that the call's route and its team are bound to; empty for all.
+  /// Regions that the call's route is restricted to; empty for all.
   std::vector<std::string> RouteRegions;
+  /// Regions that the call's team is restricted to; empty for all.
   std::vector<std::string> TeamRegions;
-  /// Hosts that send calls to the service, this one included.
+  /// The number of hosts that send calls to the service, including this one.
   int Hosts = 1;
-  /// Upstreams that this call has been sent to.
+  /// Upstreams that this call has already been sent to.
   std::vector<UpstreamId> Tried;
-  /// Decides between equals.
+  /// Breaks ties between equally good upstreams.
   std::uint64_t Seed = 0;
 };
 
-/// Where a call goes, and what it is expected to meet there.
+/// The upstream chosen for a call and the delays expected there.
 struct ReplicaChoice {
   UpstreamId Id;
-  /// Prompt tokens that the upstream has to read for it.
+  /// Prompt tokens of the call that the upstream has to prefill.
   std::int64_t TokensToPrefill = 0;
-  /// Prompt tokens of other calls that it has to read first.
+  /// Prompt tokens of other calls that the upstream has to prefill first.
   std::int64_t Ahead = 0;
-  /// How long those take it.
+  /// Expected time until those are prefilled.
   Duration Wait{};
-  /// Until the first token.
+  /// Expected time to the first token.
   Duration FirstToken{};
 };
 
-/// How a send ended, as far as it says something about the upstream.
+/// How a send ended, as evidence of the upstream's health.
 enum class SendResult {
   Answered,
-  /// It answered that it failed.
+  /// The upstream responded with a server error.
   Failed,
-  /// It says that it is full or leaving, and did not run the call.
+  /// The upstream reported that it is full or leaving, and did not run the
+  /// call.
   TurnedAway,
-  /// No connection, a broken one, bytes that are no answer, or silence.
+  /// No connection, a broken connection, a malformed response, or no response
+  /// in time.
   Broken,
-  /// The caller left or the time was over for other reasons.
+  /// No evidence: the caller disconnected, or the deadline passed for another
+  /// reason.
   Inconclusive,
 };
 
 struct ReplicaTableSettings {
-  /// What one open call weighs beside prompts, in milliseconds: it makes each
+  /// Cost of one open call besides its prompt, in milliseconds: it makes each
   /// step of the engine longer.
   double OpenCallWeight = 3;
-  /// What a millisecond of reading weighs that a better choice would have
-  /// spared: it makes the calls behind this one wait, too.
+  /// Cost of each millisecond of prefill that a better choice would have
+  /// avoided: prefill also delays the calls queued behind this one.
   double PrefillWeight = 2;
-  /// Upstreams that cost so much more than the best, in milliseconds and as a
-  /// share, are as good as it; the conversation's order decides between them.
+  /// Upstreams whose cost exceeds the lowest by no more than this, in
+  /// milliseconds, plus the share below count as equal; the conversation's
+  /// rendezvous hashing order decides between them.
   double CostTolerance = 12;
+  /// The tolerance's relative part, as a share of the lowest cost.
   double CostToleranceShare = 0.15;
-  /// Sends looked back on to find an upstream that fails; the share of failures
-  /// that exceeds the others' by this much makes it an outlier.
-  double FailureMemory = 0.85;
+  /// Weight that the past failure share keeps with each new send, 0 to 1.
+  double FailureShareDecay = 0.85;
+  /// An upstream is ejected if its failure share exceeds the mean of the others
+  /// by at least this.
   double OutlierMargin = 0.25;
+  /// Duration of the first ejection; each one in a row is twice as long as the
+  /// one before.
   Duration FirstEjection = milliseconds(1500);
+  /// Maximum duration of an ejection.
   Duration LongestEjection = seconds(12);
 };
 
-/// The upstreams that this host knows, what is open at them, and how they have
-/// done. Chooses one for each call, by the time to its first token there and
-/// what it makes others wait. Prompts go where they were read, unless the wait
-/// there is longer than reading them again; all hosts order a conversation's
-/// upstreams alike by rendezvous hashing, without asking each other. An
-/// upstream that fails or is silent is passed over by what its calls showed,
-/// never by its status check, which can be good while calls fail. Not
-/// thread-safe.
+/// The upstreams known to this host, their work in progress, and their health.
+/// Chooses an upstream for each call by the expected time to first token there
+/// and the delay that the call causes for others. Calls go where their prompt
+/// is cached, unless the wait there is longer than a new prefill elsewhere; all
+/// hosts rank a conversation's upstreams alike by rendezvous hashing, without
+/// exchanging messages. An upstream that fails or does not respond is ejected
+/// by the results of its calls, never by its status check, which can pass while
+/// calls fail. Not thread-safe.
 class ReplicaTable {
 public:
   explicit ReplicaTable(ReplicaTableSettings settings = {});
 
-  /// The regions of the zones; one that is not named is no call's home.
+  /// Sets the regions of the zones. A zone that is missing gets no calls that
+  /// are restricted to regions.
   void setRegions(std::map<ZoneId, std::string> regions) {
     RegionOf = std::move(regions);
   }
 
-  /// An entry is new or has changed.
+  /// Adds an upstream, or updates its registration.
   void note(const ReplicaRecord &record, Instant now);
-  /// The entry is gone: nothing new goes there.
+  /// Removes an upstream whose registration is gone: it gets no new calls.
   void remove(const UpstreamId &id);
-  /// All that the store held at that time has been noted.
+  /// Everything that the store held at the time `begun` has been added.
   void noteConfirmed(Instant begun) { ConfirmedAt = begun; }
   const ReplicaRecord *find(const UpstreamId &id) const;
   std::vector<ReplicaRecord> records() const;
-  /// Upstreams of the service that are not leaving.
+  /// The number of the service's upstreams that are not leaving.
   int ready(const ServiceId &service) const;
 
-  /// Calls a second that one of the service's upstreams takes from all hosts
-  /// together while it is cold; 0 for no limit.
+  /// Calls per second that one of the service's upstreams accepts from all
+  /// hosts together while it is cold; 0 for no limit.
   void setColdRate(const ServiceId &service, double perSecond);
-  /// All hosts that may send, this one included; a cold upstream gets nothing
-  /// from a host that does not know them.
+  /// Sets all hosts that may send calls, including this one. A host that does
+  /// not know them sends nothing to a cold upstream.
   void setHosts(const HostId &self, std::vector<HostId> hosts);
-  /// Nothing goes to the zone's upstreams from now on.
+  /// From now on the zone's upstreams get no calls.
   void beginEvacuation(const ZoneId &zone);
-  /// They may be used again. They may have turned cold meanwhile, and count as
-  /// cold until a younger view of them says otherwise.
+  /// The zone's upstreams may be used again. They may have become cold
+  /// meanwhile, and count as cold until a newer view of the store says
+  /// otherwise.
   void endEvacuation(const ZoneId &zone, Instant now);
   bool isEvacuated(const ZoneId &zone) const {
     return Evacuated.count(zone) != 0;
   }
-  /// Upstreams of the service that are cold and not leaving.
+  /// The number of the service's upstreams that are cold and not leaving.
   int cold(const ServiceId &service, Instant now) const;
 
-  /// The upstream for a call; nothing if there is none that may take it.
+  /// The upstream for a call; empty if none may take it.
   std::optional<ReplicaChoice> choose(const ReplicaRequest &request,
                                       Instant now);
 
   void noteSent(const UpstreamId &id, const CallCost &work, Instant now);
-  /// The prompt was sent there and will be cached.
+  /// The prompt was sent to the upstream, which will have it cached.
   void notePrompt(const UpstreamId &id, const std::vector<PromptPart> &prompt,
                   Instant now);
-  /// The first byte came: the prompt has been read.
+  /// The first byte arrived: the prompt has been prefilled.
   void noteFirstByte(const UpstreamId &id, const CallCost &work);
-  /// What the time to a first byte says of the upstream's speed.
+  /// Updates the estimate of the upstream's speed by a time to first token.
   void noteFirstToken(const UpstreamId &id, const FirstTokenSample &seen,
                       Instant now);
-  /// What the service's engines do.
+  /// The latency model of the service's engines.
   const EngineModel &modelOf(const ServiceId &service) {
     return Models[service];
   }
-  /// The send has ended; says whether its first byte had come.
+  /// The send has ended. `hadFirstByte` states whether its first byte had
+  /// arrived.
   void noteEnded(const UpstreamId &id, const CallCost &work, bool hadFirstByte,
                  SendResult result, Instant now);
-  /// What a peer has open now at all upstreams; replaces what it said before.
+  /// Replaces the work in progress at all upstreams that a peer reported
+  /// before.
   void notePeer(const SourceId &peer,
                 std::map<UpstreamId, OutstandingWork> open);
   void forgetPeer(const SourceId &peer);
 
-  /// What this host has open, for its reports.
+  /// This host's work in progress, for its reports.
   std::map<UpstreamId, OutstandingWork> ownWork() const;
-  /// What all hosts have open at the upstream.
+  /// The work in progress of all hosts at the upstream.
   OutstandingWork workAt(const UpstreamId &id) const;
   bool isEjected(const UpstreamId &id, Instant now) const;
-  /// Open calls of all hosts at the service's ready upstreams, and their
-  /// places.
+  /// Work in progress of all hosts at the service's available upstreams, and
+  /// the slots of these.
   struct ServiceWork {
     int Calls = 0;
     std::int64_t PromptTokens = 0;
@@ -215,25 +231,27 @@
     OutstandingWork Own;
     OutstandingWork Peers;
     double FailureShare = 0;
-    /// Sends that FailureShare looks back on, at most a few.
-    double Seen = 0;
+    /// The number of sends that FailureShare covers, up to a small maximum.
+    double SendsSeen = 0;
     Instant EjectedUntil{};
     Duration LastEjection{};
-    /// A call was sent to see whether it works again.
-    bool IsProbed = false;
+    /// A call was sent as a probe after an ejection and has not ended.
+    bool IsBeingProbed = false;
     Instant ColdUntil{};
-    /// It counts as cold until a view that is younger than this confirms it.
-    Instant DoubtedAt{};
-    ColdRateLimiter Allowance;
-    /// Of the cold rate, this host's; nothing until it is worked out.
+    /// The upstream counts as cold until a view of the store that is newer than
+    /// this is confirmed; zero if it does not.
+    Instant AssumedColdAt{};
+    ColdRateLimiter ColdLimiter;
+    /// This host's share of the cold rate; empty until it is computed.
     std::optional<int> ColdShare;
   };
 
-  /// One upstream that may take a call, and what it would cost there.
+  /// An upstream that may take a call, and its cost.
   struct Candidate {
-    Entry *Place = nullptr;
-    /// The conversation's order of upstreams, the same on all hosts.
-    std::uint64_t Draw = 0;
+    Entry *CandidateEntry = nullptr;
+    /// The upstream's rendezvous hash for the conversation, the same on all
+    /// hosts; the highest one ranks first.
+    std::uint64_t HashRank = 0;
     double TokensToPrefill = 0;
     double Ahead = 0;
     double Wait = 0;
@@ -241,23 +259,26 @@
     double Cost = 0;
   };
 
-  std::optional<ReplicaChoice> chooseOf(const ReplicaRequest &request,
-                                        Instant now);
-  std::vector<Entry *> ableTo(const ReplicaRequest &request, Instant now);
-  static std::vector<Entry *> drawTwo(std::vector<Entry *> able,
-                                      std::uint64_t seed);
+  std::optional<ReplicaChoice> chooseOfVersion(const ReplicaRequest &request,
+                                               Instant now);
+  std::vector<Entry *> eligibleUpstreams(const ReplicaRequest &request,
+                                         Instant now);
+  static std::vector<Entry *> sampleTwo(std::vector<Entry *> eligible,
+                                        std::uint64_t seed);
   static Entry *leastBusy(const std::vector<Entry *> &all,
                           const ReplicaRequest &request);
-  std::vector<Candidate> candidates(const std::vector<Entry *> &able,
+  std::vector<Candidate> candidates(const std::vector<Entry *> &eligible,
                                     const ReplicaRequest &request, Instant now);
-  double tokensToRead(const Candidate &it, const ReplicaRequest &request,
-                      bool isHome, std::size_t upstreams, Instant now) const;
+  double tokensToPrefill(const Candidate &it, const ReplicaRequest &request,
+                         bool isAffinityUpstream, std::size_t upstreams,
+                         Instant now) const;
   const Candidate &bestOf(const std::vector<Candidate> &all) const;
-  bool isHome(const ZoneId &zone, const std::vector<std::string> &homes) const;
+  bool isInAllowedRegion(const ZoneId &zone,
+                         const std::vector<std::string> &allowedRegions) const;
   bool fits(const Entry &entry, const ReplicaRequest &request) const;
   bool isCold(const Entry &entry, Instant now) const;
-  bool hasColdRoom(Entry &entry, Instant now);
-  void judge(Entry &entry, SendResult result, Instant now);
+  bool hasColdCapacity(Entry &entry, Instant now);
+  void updateHealth(Entry &entry, SendResult result, Instant now);
   double othersFailureShare(const Entry &entry) const;
 
   ReplicaTableSettings Settings;
--- a/Libraries/LibServing/ServingCall.h
+++ b/Libraries/LibServing/ServingCall.h
@@ -9,50 +9,53 @@
 
 namespace sorrelbay {
 
-/// A part of a prompt that calls share, in the order in which it is read.
+/// A part of a prompt that calls can share. Parts are listed in prefill order.
 struct PromptPart {
   std::string Id;
   std::int64_t Tokens = 0;
 };
 
-/// What a caller's request says of itself, whatever its interface calls it.
+/// A caller's request, independent of the interface that it arrived on.
 struct ServingCall {
-  /// The caller's attempt; empty if it names none.
+  /// The id of the caller's attempt; empty if it gives none.
   std::string Id;
   std::string HostName;
   std::string Path;
   std::string Method;
   std::string Key;
-  /// How long the caller waits, from when the request was read.
+  /// The longest time that the caller waits, counted from when the request was
+  /// read; empty if it gives none.
   std::optional<Duration> WaitLimit;
   std::optional<std::int64_t> PromptTokens;
   std::int64_t MaxOutputTokens = 0;
   std::vector<PromptPart> Prompt;
-  /// The last event that the caller has of a stream that it resumes.
+  /// The id of the last event that the caller received of a stream that it
+  /// resumes.
   std::string LastEventId;
 };
 
-/// Where one try of a call goes and what is sent to the upstream with it.
+/// One send of a call: its upstream and the parameters sent with it.
 struct UpstreamAttempt {
   UpstreamId Replica;
   std::string Address;
   Duration WaitLimit{};
   TeamId Team;
   int Priority = 0;
-  /// Set where a broken stream goes on.
+  /// The id of the event after which an interrupted stream is resumed; empty
+  /// otherwise.
   std::string ResumeAfter;
-  /// The other end and the handle of moved memory, where the call goes on from
-  /// it.
+  /// The source address and the handle of the migrated KV cache that the call
+  /// continues with; empty if there is none.
   std::string KvCacheSource;
 };
 
-/// What the head of an upstream's answer says besides status and body.
+/// Information in the head of an upstream's response, besides its status.
 struct UpstreamReplyInfo {
-  /// The attempt that it answers; empty if it names none.
+  /// The id of the attempt that the response is for; empty if it gives none.
   std::string Id;
-  /// The upstream says that it did not run the call.
+  /// The upstream reported that it did not run the call.
   bool IsNotRun = false;
-  /// The upstream runs, what waits there, and its places.
+  /// The number of calls running and waiting at the upstream, and its slots.
   struct Load {
     int Running = 0;
     int Waiting = 0;
--- a/Libraries/LibServing/ServingPlan.cpp
+++ b/Libraries/LibServing/ServingPlan.cpp
@@ -4,17 +4,17 @@
 
 namespace sorrelbay {
 
-/// Host names compare without regard to case, and the port isn't part of them.
-static std::string plainHostName(const std::string &text) {
+/// Host names are compared without regard to case and port.
+static std::string normalizedHostName(const std::string &text) {
   std::string out = text.substr(0, text.find(':'));
   std::transform(out.begin(), out.end(), out.begin(),
                  [](unsigned char c) { return std::tolower(c); });
   return out;
 }
 
-static std::string routeKey(const std::string &plainHost,
+static std::string routeKey(const std::string &normalizedHost,
                             std::string_view prefix) {
-  std::string key = plainHost;
+  std::string key = normalizedHost;
   key += '\n';
   key += prefix;
   return key;
@@ -22,7 +22,7 @@
 
 PlanIndex::PlanIndex(ServingPlan plan) : Plan(std::move(plan)) {
   for (const ServingRoute &it : Plan.Routes)
-    Routes[routeKey(plainHostName(it.HostName), it.PathPrefix)] = &it;
+    Routes[routeKey(normalizedHostName(it.HostName), it.PathPrefix)] = &it;
   for (const ServingTeam &team : Plan.Teams)
     for (const std::string &key : team.Keys)
       Teams[key] = &team;
@@ -32,17 +32,18 @@
 
 const ServingRoute *PlanIndex::routeOf(const std::string &hostName,
                                        const std::string &path) const {
-  const std::string host = plainHostName(hostName);
-  const std::string_view plain =
+  const std::string host = normalizedHostName(hostName);
+  const std::string_view pathWithoutQuery =
       std::string_view(path).substr(0, path.find('?'));
-  std::size_t end = plain.rfind('/');
+  std::size_t end = pathWithoutQuery.rfind('/');
   while (end != std::string_view::npos) {
-    const auto it = Routes.find(routeKey(host, plain.substr(0, end + 1)));
+    const auto it =
+        Routes.find(routeKey(host, pathWithoutQuery.substr(0, end + 1)));
     if (it != Routes.end())
       return it->second;
     if (end == 0)
       return nullptr;
-    end = plain.rfind('/', end - 1);
+    end = pathWithoutQuery.rfind('/', end - 1);
   }
   return nullptr;
 }
--- a/Libraries/LibServing/ServingPlan.h
+++ b/Libraries/LibServing/ServingPlan.h
@@ -12,7 +12,7 @@
 
 namespace sorrelbay {
 
-/// What may be done with a call whose outcome isn't known.
+/// Whether a call whose outcome is unknown may be sent again.
 enum class Repeatability {
   /// May run more than once.
   Idempotent,
@@ -20,7 +20,7 @@
   NonIdempotent,
 };
 
-/// A service and its part of a route's calls. Weights are relative.
+/// A service and its share of a route's calls. Weights are relative.
 struct WeightedService {
   ServiceId Name;
   double Weight = 0;
@@ -30,90 +30,92 @@
   }
 };
 
-/// Which calls go to which services, and what they are owed. A call belongs to
-/// the route of its host name with the longest prefix that begins its path.
+/// Which calls go to which services, and their guarantees. A call belongs to
+/// the route of its host name with the longest prefix of its path.
 struct ServingRoute {
   RouteId Name;
   std::string HostName;
   /// Begins and ends with a slash.
   std::string PathPrefix;
   Repeatability Kind = Repeatability::NonIdempotent;
-  /// The answer is a stream of events.
+  /// The response is a stream of server-sent events.
   bool IsStream = false;
-  /// A stream that broke off may go on at another upstream.
+  /// An interrupted stream may be resumed at another upstream.
   bool IsResumable = false;
-  /// Callers need no key.
+  /// Callers need no API key.
   bool IsPublic = false;
-  /// The longest time that a call may be kept without its whole answer.
+  /// Maximum time from the receipt of a call until its response is complete.
   Duration Timeout{};
-  /// A first byte after this is late.
+  /// A first byte that takes longer than this is late.
   Duration LatencyTarget{};
-  /// A longer pause between a stream's events makes it late.
+  /// A longer gap between two events of a stream makes it late.
   Duration MaxEventGap{};
-  /// 0 goes first.
+  /// 0 is the highest priority.
   int Priority = 0;
-  /// Upstreams that one attempt of a caller may be sent to.
+  /// Maximum number of upstreams that one attempt of a caller is sent to.
   int MaxAttempts = 1;
   std::vector<WeightedService> ServiceWeights;
-  /// Regions whose upstreams may run its calls; empty for all.
+  /// Regions whose upstreams may run the route's calls; empty for all.
   std::vector<std::string> PermittedRegions;
 };
 
-/// What a service's engines are like.
+/// The capacity and features of a service's engines.
 struct EngineShape {
-  /// Calls that one engine works on at once.
+  /// Calls that one engine processes concurrently.
   int Slots = 1;
-  /// Tokens that fit into one engine's memory.
+  /// Capacity of one engine's memory, in tokens.
   std::int64_t MemoryTokens = 0;
-  // FIXME: Moves of memory at a reclaim.
-  /// A running answer's memory can be moved to another engine.
+  // FIXME: Migrate KV caches when replicas are reclaimed.
+  /// The KV cache of a running call can be migrated to another engine.
   bool CanMigrateKvCache = false;
-  /// How long a moved memory is kept for its call.
+  /// How long an engine keeps a migrated KV cache for its call.
   Duration KvCacheHandleTtl{};
 };
 
-/// How many replicas of a service may be ordered, and what they cost.
+/// How many replicas of a service may be ordered, and their cost.
 struct ScalingBounds {
-  /// In each zone, of both kinds together.
+  /// Minimum number of replicas in each zone, of both kinds together.
   int MinReplicas = 0;
+  /// Maximum number of replicas in each zone, of both kinds together.
   int MaxReplicas = 0;
-  /// From the order until a replica serves.
+  /// Time from an order until the replica serves calls.
   Duration StartupTime{};
-  /// What a reclaimable replica costs, as a share of an on-demand one.
+  /// Cost of a reclaimable replica as a share of an on-demand one's.
   double ReclaimablePrice = 1;
   std::map<ZoneId, double> ZonePrices;
 };
 
 struct ServingService {
   ServiceId Name;
-  /// Connections that one upstream takes from all hosts together.
+  /// Maximum connections to one upstream from all hosts together.
   int MaxConnections = 0;
   std::optional<EngineShape> Engine;
   std::optional<ScalingBounds> Scaling;
-  /// Calls a second that one upstream takes from all hosts together while it is
-  /// cold; 0 for no limit.
+  /// Calls per second that one upstream accepts from all hosts together while
+  /// it is cold; 0 for no limit.
   double ColdRate = 0;
 };
 
-/// A team and what it may use.
+/// A team and its quota.
 struct ServingTeam {
   TeamId Name;
   std::vector<std::string> Keys;
-  /// Goes before the route's where it is set.
+  /// Overrides the route's priority if set.
   std::optional<int> Priority;
   bool CountsTokens = false;
-  /// What a call counts that doesn't say how many tokens it has.
+  /// Tokens charged for a call that does not state its number of tokens.
   std::int64_t FallbackTokens = 1;
-  /// Units a second over all hosts; 0 for no limit.
+  /// Units per second over all hosts, in tokens if `CountsTokens` is set and in
+  /// calls otherwise; 0 for no limit.
   std::int64_t Rate = 0;
-  /// Units that may be used at once besides.
+  /// Units that may be used at once in addition to the rate.
   std::int64_t Burst = 0;
-  /// Regions whose upstreams may run its calls; empty for all. Where a route
-  /// has homes, too, both bind.
+  /// Regions whose upstreams may run the team's calls; empty for all. If the
+  /// route is restricted to regions, too, both restrictions apply.
   std::vector<std::string> PermittedRegions;
 };
 
-/// What callers may send.
+/// Limits on callers' requests.
 struct CallLimits {
   std::size_t MaxHeaderBytes = 16UL * 1024;
   std::size_t MaxBodyBytes = 4UL * 1024 * 1024;
@@ -121,10 +123,10 @@
   Duration IdleTimeout = seconds(15);
 };
 
-/// All that the operators have signed off for serving, as one value that isn't
-/// changed once it is made.
+/// The complete serving configuration approved by the operators, as one
+/// immutable value.
 struct ServingPlan {
-  /// Grows with each change; never goes back within a daemon's life.
+  /// Increases with each change; never decreases while a daemon runs.
   std::uint64_t Version = 0;
   std::vector<ServingRoute> Routes;
   std::vector<ServingService> Services;
@@ -132,8 +134,8 @@
   CallLimits Limits;
 };
 
-/// A plan with what finds its parts quickly: a thousand routes must not make
-/// each call slower.
+/// A plan with indexes for its parts, so that the cost of a call does not grow
+/// with the number of routes, which may be a thousand.
 class PlanIndex {
 public:
   explicit PlanIndex(ServingPlan plan);
@@ -141,14 +143,14 @@
   PlanIndex &operator=(const PlanIndex &) = delete;
 
   const ServingPlan &plan() const { return Plan; }
-  /// The route of a call, by the host name that it names (a port is passed
-  /// over) and its path with or without a query; nothing if there is none.
+  /// The route of a call by its host name (the port is ignored) and its path,
+  /// with or without a query; null if there is none.
   const ServingRoute *routeOf(const std::string &hostName,
                               const std::string &path) const;
-  /// The team that holds the key; nothing if no team does.
+  /// The team that holds the API key; null if none does.
   const ServingTeam *teamOf(const std::string &key) const;
   const ServingService *service(const ServiceId &name) const;
-  /// Calls need a key unless their route is public.
+  /// Whether calls need an API key unless their route is public.
   bool needsKeys() const { return !Plan.Teams.empty(); }
 
 private:
@@ -158,8 +160,8 @@
   std::unordered_map<ServiceId, const ServingService *> Services;
 };
 
-/// The service that a call goes to, by a fraction in [0, 1) drawn for it.
-/// Nothing if the route has no service with a weight.
+/// The service for a call, selected by a random `fraction` in [0, 1). Null if
+/// the route has no service with a positive weight.
 const WeightedService *chooseService(const ServingRoute &route,
                                      double fraction);
 
--- a/Tests/LibLoad/TestEngineModel.cpp
+++ b/Tests/LibLoad/TestEngineModel.cpp
@@ -13,7 +13,7 @@
 const UpstreamId Usual("usual");
 const UpstreamId Other("other");
 
-/// An engine as it really is, in milliseconds.
+/// The real speed of an engine, in milliseconds.
 struct Engine {
   const char *Name;
   double Base;
@@ -31,9 +31,9 @@
     {"four times slower still", 160, 0.1},
 };
 
-/// Lets the model see so many first tokens of prompts of many sizes.
-void show(EngineModel &model, const UpstreamId &upstream, const Engine &engine,
-          int count, Instant &now) {
+/// Adds `count` first tokens to the model, of prompts of random sizes.
+void addFirstTokens(EngineModel &model, const UpstreamId &upstream,
+                    const Engine &engine, int count, Instant &now) {
   std::mt19937_64 random(7);
   std::uniform_int_distribution<std::int64_t> size(50, 9000);
   std::normal_distribution<double> noise(1, 0.15);
@@ -50,14 +50,14 @@
 
 BOOST_AUTO_TEST_SUITE(engine_model)
 
-// A service gets engines of another make. Figures that fit the old ones would
-// send its calls to engines that are seconds behind.
+// The engines of a service are replaced by another type. With figures that fit
+// the old type, calls go to engines that are seconds behind.
 BOOST_DATA_TEST_CASE(each_make_of_engine_is_learned,
                      boost::unit_test::data::make(Engines), engine) {
   EngineModel model;
   Instant now{seconds(100)};
   BOOST_TEST(!model.hasEnoughSamples());
-  show(model, Usual, engine, 150, now);
+  addFirstTokens(model, Usual, engine, 150, now);
   BOOST_TEST(model.hasEnoughSamples());
   const double expected = engine.PerToken * 5000;
   BOOST_TEST(model.prefillTime(5000) > 0.8 * expected);
@@ -66,18 +66,18 @@
   BOOST_TEST(model.slownessOf(Usual, now) < 1.3);
 }
 
-// One replica of many turns five times slower. Calls that go on being sent
-// there are all late, while the others stand by.
+// One of many replicas becomes five times slower. Calls that are still sent
+// there are all late, while other replicas are idle.
 BOOST_AUTO_TEST_CASE(one_slow_upstream_is_told_from_the_others) {
   EngineModel model;
   Instant now{seconds(100)};
-  show(model, Usual, Engines[1], 100, now);
+  addFirstTokens(model, Usual, Engines[1], 100, now);
   const double before = model.prefillTime(5000);
-  show(model, Other, {"slowed", 265, 0.035}, 6, now);
+  addFirstTokens(model, Other, {"slowed", 265, 0.035}, 6, now);
   BOOST_TEST(model.slownessOf(Other, now) > 2);
   BOOST_TEST(model.slownessOf(Usual, now) < 1.3);
   BOOST_TEST(model.prefillTime(5000) < 2 * before);
-  // It is tried again some time later.
+  // The measured slowness decays, so that the upstream gets calls again.
   now += seconds(30);
   BOOST_TEST(model.slownessOf(Other, now) < 1.2);
 }
@@ -85,15 +85,15 @@
 BOOST_AUTO_TEST_CASE(an_engine_that_slows_down_is_learned_anew) {
   EngineModel model;
   Instant now{seconds(100)};
-  show(model, Usual, Engines[1], 300, now);
-  show(model, Usual, Engines[2], 400, now);
+  addFirstTokens(model, Usual, Engines[1], 300, now);
+  addFirstTokens(model, Usual, Engines[2], 400, now);
   BOOST_TEST(model.prefillTime(5000) > 0.75 * Engines[2].PerToken * 5000);
 }
 
 BOOST_AUTO_TEST_CASE(what_cannot_be_is_not_learned) {
   EngineModel model;
   Instant now{seconds(100)};
-  show(model, Usual, Engines[1], 50, now);
+  addFirstTokens(model, Usual, Engines[1], 50, now);
   const double before = model.prefillTime(5000);
   model.note(Usual, {-5, milliseconds(100)}, now);
   model.note(Usual, {std::numeric_limits<std::int64_t>::max(), seconds(1)},
@@ -101,7 +101,8 @@
   model.note(Usual, {100, seconds(-3)}, now);
   model.note(Usual, {100, hours(7)}, now);
   BOOST_TEST(model.prefillTime(5000) == before);
-  // Times that don't grow with the prompt still give a speed in its range.
+  // Times that do not grow with the prompt still give a speed within its
+  // bounds.
   for (int n = 0; n < 500; ++n)
     model.note(Usual, {9000 - n * 10, milliseconds(n * 20)}, now);
   BOOST_TEST(model.prefillTime(1) > 0);
--- a/Tests/LibLoad/TestSmallParts.cpp
+++ b/Tests/LibLoad/TestSmallParts.cpp
@@ -27,9 +27,9 @@
   BOOST_TEST(cache.likelihood(First, "a", 1, 20, now + seconds(60)) < 0.1);
 }
 
-// A few beginnings are shared by nearly all prompts. Each upstream has read
-// them for some host; a host that goes by its own sends alone would keep calls
-// at upstreams that have much more to do.
+// A few prefixes are shared by nearly all prompts, and each upstream has read
+// them for some host. A host that considers only its own sends would keep calls
+// at upstreams that have much more work.
 BOOST_AUTO_TEST_CASE(a_part_that_is_used_much_is_everywhere) {
   PromptCacheEstimate cache;
   Instant now{seconds(100)};
@@ -60,7 +60,7 @@
   BOOST_TEST(demand.total(Model, now) < 2.1);
   demand.notePeer(SourceId("p"), {{Model, 3}});
   BOOST_TEST(demand.total(Model, now) > 4.9);
-  // A peer's newer word replaces the older one.
+  // A peer's newer report replaces the older one.
   demand.notePeer(SourceId("p"), {{Model, 1}});
   BOOST_TEST(demand.total(Model, now) < 3.1);
   demand.forgetPeer(SourceId("p"));
@@ -82,9 +82,9 @@
 
 BOOST_AUTO_TEST_SUITE(first_token_limits)
 
-// The most urgent kind of call is owed its first token sooner than another one
-// that is less urgent. With a limit by its own target alone it would be turned
-// away where the other is let in.
+// Calls of the highest priority have a shorter latency target than calls of a
+// lower priority. With a limit by their own target alone they would be rejected
+// where the others are admitted.
 BOOST_AUTO_TEST_CASE(an_urgent_call_may_wait_as_long_as_a_less_urgent_one) {
   QueueWaitLimits limits(0.5);
   const PromptClass urgent{Model, 0, milliseconds(800)};
--- a/Tests/LibServing/TestColdShare.cpp
+++ b/Tests/LibServing/TestColdShare.cpp
@@ -13,21 +13,22 @@
 
 const UpstreamId Cold("cold");
 constexpr Duration Step = milliseconds(20);
-constexpr Duration Played = seconds(6);
-/// What the platform allows beyond the cold rate.
-constexpr double Overshoot = 1.5;
-constexpr double Slack = 5;
+constexpr Duration SimulatedTime = seconds(6);
+/// The platform's tolerance above the cold rate: a factor and a number of
+/// calls.
+constexpr double ToleratedFactor = 1.5;
+constexpr double ToleratedCalls = 5;
 
 struct Fleet {
   std::size_t Hosts = 0;
   double PerSecond = 0;
-  /// How likely a host has not heard of another one.
-  double Unheard = 0;
+  /// The probability that a host does not know of another one.
+  double UnknownShare = 0;
 };
 
 std::ostream &operator<<(std::ostream &out, const Fleet &it) {
   return out << it.Hosts << " hosts, " << it.PerSecond << " a second, "
-             << it.Unheard << " unheard";
+             << it.UnknownShare << " unknown";
 }
 
 const Fleet Fleets[] = {
@@ -36,8 +37,9 @@
 
 using Share = std::function<int(const HostId &, const std::vector<HostId> &)>;
 
-/// Hosts that each have endless work for one cold upstream, know of most of the
-/// others, and whose calls take up to 50 ms to arrive.
+/// The arrivals at one cold upstream from hosts that always have calls to send.
+/// Each host knows of most of the others, and its calls take up to 50 ms to
+/// arrive.
 std::vector<Instant> arrivals(const Fleet &fleet, const Share &shareOf) {
   std::mt19937_64 random(fleet.Hosts);
   const auto draw = [&] {
@@ -48,26 +50,26 @@
     all.emplace_back("host-" + std::to_string(n));
   std::map<HostId, int> shares;
   for (const HostId &self : all) {
-    std::vector<HostId> heard;
+    std::vector<HostId> knownHosts;
     for (const HostId &it : all)
-      if (it == self || draw() >= fleet.Unheard)
-        heard.push_back(it);
-    shares[self] = shareOf(self, heard);
+      if (it == self || draw() >= fleet.UnknownShare)
+        knownHosts.push_back(it);
+    shares[self] = shareOf(self, knownHosts);
   }
-  std::map<HostId, ColdRateLimiter> allowances;
+  std::map<HostId, ColdRateLimiter> limiters;
   std::vector<Instant> out;
   const Instant begin{seconds(1000)};
-  for (Instant now = begin; now < begin + Played; now += Step)
+  for (Instant now = begin; now < begin + SimulatedTime; now += Step)
     for (const HostId &self : all)
-      if (allowances[self].hasRoom(shares[self], now)) {
-        allowances[self].note(now);
+      if (limiters[self].hasRoom(shares[self], now)) {
+        limiters[self].note(now);
         out.push_back(now + fromSeconds(0.05 * draw()));
       }
   std::sort(out.begin(), out.end());
   return out;
 }
 
-/// The most that arrive within any second.
+/// The largest number of arrivals within any second.
 std::size_t mostInASecond(const std::vector<Instant> &arrived) {
   std::size_t most = 0;
   for (auto first = arrived.begin(); first != arrived.end(); ++first) {
@@ -78,14 +80,16 @@
   return most;
 }
 
-double allowed(double perSecond) { return perSecond * Overshoot + Slack; }
+double allowed(double perSecond) {
+  return perSecond * ToleratedFactor + ToleratedCalls;
+}
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(cold_share)
 
-// A replica that has just started gets the calls of all hosts at once, crashes,
-// and comes back cold.
+// A replica that has just started gets calls from all hosts at once and
+// crashes; after its restart it is cold again.
 BOOST_DATA_TEST_CASE(all_hosts_together_keep_to_the_cold_rate,
                      boost::unit_test::data::make(Fleets), it) {
   const auto arrived =
@@ -94,13 +98,14 @@
       });
   BOOST_TEST(static_cast<double>(mostInASecond(arrived)) <=
              allowed(it.PerSecond));
-  // It has to get its part, too: after a reclaim all that stands may be cold.
+  // The rate must also be used: after a reclaim all remaining replicas may be
+  // cold.
   BOOST_TEST(static_cast<double>(arrived.size()) >=
-             0.7 * it.PerSecond * toSeconds(Played));
+             0.7 * it.PerSecond * toSeconds(SimulatedTime));
 }
 
-// Guards against a check that lets the simple way pass: equal parts, but at
-// least one call a second, since no host can send less than a call.
+// Guards against a check that passes for a wrong algorithm: equal shares, but
+// at least one call per second for each host, exceed the rate with many hosts.
 BOOST_AUTO_TEST_CASE(equal_parts_for_all_hosts_are_noticed) {
   const Fleet fleet{58, 18, 0};
   const auto arrived =
@@ -111,7 +116,7 @@
              allowed(fleet.PerSecond));
 }
 
-// Guards against a host that begins to send before it knows of any other.
+// Guards against a host that sends calls before it knows of any other host.
 BOOST_AUTO_TEST_CASE(a_host_that_knows_nobody_has_no_share) {
   const HostId self("host-1");
   BOOST_TEST(coldRateShare(Cold, self, {}, 18) == 0);
--- a/Tests/LibServing/TestOverload.cpp
+++ b/Tests/LibServing/TestOverload.cpp
@@ -8,12 +8,14 @@
 
 namespace {
 
-/// Engines whose prompts and not whose slots bind.
-EngineMake slowReader() { return {38, 4.73, 0.014, 40, 2048, 96, 297000}; }
+/// Engines whose bottleneck is prefill and not slots.
+EngineMake prefillBoundEngines() {
+  return {38, 4.73, 0.014, 40, 2048, 96, 297000};
+}
 
 EngineFleetPlan fleet(double perSecond) {
   EngineFleetPlan plan;
-  plan.Make = slowReader();
+  plan.Make = prefillBoundEngines();
   plan.Kinds = mixedPrompts(perSecond);
   return plan;
 }
@@ -22,9 +24,10 @@
 
 BOOST_AUTO_TEST_SUITE(overload)
 
-// Callers ask for nearly twice what the engines can read. Let in all
-// together, each prompt makes those behind it later, until every answer is late
-// and none is of use to its caller; turned away at once, the rest are in time.
+// Callers send nearly twice the prompts that the engines can prefill. If all
+// are admitted, each prompt delays those behind it, until every response is
+// late and of no use to its caller; if the excess is rejected at once, the rest
+// is in time.
 BOOST_AUTO_TEST_CASE(more_prompts_than_engines_can_read) {
   EngineFleetPlan plan = fleet(80);
   plan.EnginesPerZone = 1;
@@ -37,8 +40,8 @@
   BOOST_TEST(limited.All.Late + limited.All.Failed < limited.All.InTime / 4);
 }
 
-// In the same overload large prompts of a kind are turned away no more often
-// than its small ones, and urgent kinds no more often than others.
+// In the same overload, large prompts of a kind are rejected no more often than
+// its small ones, and urgent kinds no more often than others.
 BOOST_AUTO_TEST_CASE(an_overload_is_shared_by_urgency) {
   EngineFleetPlan plan = fleet(80);
   plan.EnginesPerZone = 1;
@@ -51,9 +54,9 @@
     BOOST_TEST(it.inTimeShare() > 0.25);
 }
 
-// The calm before a rush: few calls are open, and most replicas seem idle. They
-// are sent away, the rush comes, and a zone is reclaimed in the middle of it.
-// Callers wait for seconds until others have booted.
+// At low load few calls are open and most replicas seem idle, so that they are
+// removed. The load then rises and zones are reclaimed, and callers wait for
+// seconds until other replicas have started.
 BOOST_AUTO_TEST_CASE(a_rush_and_a_reclaim_after_a_calm) {
   EngineFleetPlan plan = fleet(140);
   plan.IsScaled = true;
@@ -68,7 +71,7 @@
   BOOST_TEST(result.worstSpan() > byCalls.worstSpan());
 }
 
-// Nothing happens for long, and replicas that nobody needs are paid for.
+// At a constant low load, replicas that are not needed cost money.
 BOOST_AUTO_TEST_CASE(replicas_that_are_not_needed_go) {
   EngineFleetPlan plan = fleet(30);
   plan.IsScaled = true;
@@ -78,8 +81,8 @@
   BOOST_TEST(result.EngineSeconds < 0.7 * 18 * 60);
 }
 
-// One engine of many turns five times slower. Its calls are late for as long as
-// it gets its part of them.
+// One of many engines becomes five times slower. Its calls are late as long as
+// it gets an equal share of them.
 BOOST_AUTO_TEST_CASE(one_slow_engine_among_good_ones) {
   EngineFleetPlan plan = fleet(60);
   plan.EnginesPerZone = 3;
@@ -88,9 +91,9 @@
   BOOST_TEST(result.All.inTimeShare() > 0.9);
 }
 
-// Three in ten of the long calls belong to one conversation. Its home alone
-// can't carry them, and all engines reading its prompt again would cost more
-// than they have.
+// Three in ten of the long calls belong to one conversation. Its affinity
+// upstream alone cannot serve them, and if all engines prefilled its prompt
+// again, that would exceed their capacity.
 BOOST_AUTO_TEST_CASE(a_hot_conversation_spreads_as_far_as_it_must) {
   EngineFleetPlan plan = fleet(100);
   plan.Kinds.push_back({"hot", 18, 2900, 3800, 1, 50, milliseconds(1000), 1});
@@ -125,9 +128,9 @@
 
 } // namespace
 
-// A deployment that nobody has tuned for: its engines are several times faster
-// or slower, with other places, chunks and zones. Below its capacity nearly all
-// of its calls are in time, and far above it some still are.
+// The settings are used with engines that are several times faster or slower,
+// and with other numbers of slots, chunk sizes and zones. Below capacity nearly
+// all calls are in time, and far above it some still are.
 BOOST_DATA_TEST_CASE(engines_of_any_make, boost::unit_test::data::make(Shapes),
                      shape) {
   EngineFleetPlan plan;
--- a/Tests/LibServing/TestReplicaTable.cpp
+++ b/Tests/LibServing/TestReplicaTable.cpp
@@ -31,8 +31,8 @@
 
 BOOST_AUTO_TEST_SUITE(replica_table)
 
-// Two hosts that each choose a home for a conversation by themselves must
-// choose the same one, or its prompt is read twice.
+// If two hosts choose different upstreams for one conversation, its prompt is
+// prefilled twice.
 BOOST_AUTO_TEST_CASE(all_hosts_choose_the_same_home) {
   ReplicaTable one;
   ReplicaTable other;
@@ -40,28 +40,28 @@
     one.note(replica("r" + std::to_string(n)), Now);
     other.note(replica("r" + std::to_string(8 - n)), Now);
   }
-  std::map<std::string, int> homes;
+  std::map<std::string, int> callsByUpstream;
   for (int n = 0; n < 200; ++n) {
     const auto it = request("c" + std::to_string(n));
-    const auto home = one.choose(it, Now);
-    BOOST_REQUIRE(home);
-    BOOST_TEST((home->Id == other.choose(it, Now)->Id));
-    ++homes[home->Id.text()];
+    const auto affinityUpstream = one.choose(it, Now);
+    BOOST_REQUIRE(affinityUpstream);
+    BOOST_TEST((affinityUpstream->Id == other.choose(it, Now)->Id));
+    ++callsByUpstream[affinityUpstream->Id.text()];
   }
-  BOOST_TEST(homes.size() == 9U);
+  BOOST_TEST(callsByUpstream.size() == 9U);
 }
 
 BOOST_AUTO_TEST_CASE(a_home_with_much_more_to_do_passes_its_calls_on) {
   ReplicaTable table;
   for (int n = 0; n < 3; ++n)
     table.note(replica("r" + std::to_string(n)), Now);
-  const UpstreamId home = table.choose(request("c"), Now)->Id;
-  table.noteSent(home, {60000, 60500}, Now);
+  const UpstreamId affinityUpstream = table.choose(request("c"), Now)->Id;
+  table.noteSent(affinityUpstream, {60000, 60500}, Now);
   const auto next = table.choose(request("c"), Now);
   BOOST_REQUIRE(next);
-  BOOST_TEST((next->Id != home));
-  table.noteFirstByte(home, {60000, 60500});
-  BOOST_TEST((table.choose(request("c"), Now)->Id == home));
+  BOOST_TEST((next->Id != affinityUpstream));
+  table.noteFirstByte(affinityUpstream, {60000, 60500});
+  BOOST_TEST((table.choose(request("c"), Now)->Id == affinityUpstream));
 }
 
 BOOST_AUTO_TEST_CASE(leaving_and_tried_upstreams_get_nothing) {
@@ -79,8 +79,8 @@
   BOOST_TEST(!table.choose(it, Now));
 }
 
-// One replica fails most of its calls while its status check is good. Users see
-// one failure in so many, for as long as it gets its part of the calls.
+// One replica fails most of its calls while its status check passes. Callers
+// see failures as long as it gets its share of the calls.
 BOOST_AUTO_TEST_CASE(an_upstream_that_fails_is_passed_over_and_comes_back) {
   ReplicaTable table;
   for (int n = 0; n < 4; ++n)
@@ -103,8 +103,8 @@
   BOOST_TEST(isBack);
 }
 
-// An ejected replica is chosen to be tried again, but the call goes elsewhere.
-// Had the choice counted as the trial, no call would ever have ended it.
+// An ejected replica is chosen for a probe, but the call goes elsewhere. If the
+// choice counted as the probe, no call would ever complete it.
 BOOST_AUTO_TEST_CASE(a_trial_that_was_not_sent_does_not_keep_an_upstream_out) {
   ReplicaTable table;
   table.note(replica("r0"), Now);
@@ -124,8 +124,8 @@
   BOOST_TEST((table.choose(it, later)->Id == UpstreamId("r1")));
 }
 
-// All replicas of a desk answer one call in seven with a failure of their own;
-// that is how the desk is, and no reason to stop using it.
+// All replicas of a desk respond to one call in seven with a server error. That
+// is the desk's normal failure rate and no reason to eject any of them.
 BOOST_AUTO_TEST_CASE(failures_that_all_have_eject_none) {
   ReplicaTable table;
   for (int n = 0; n < 4; ++n)
@@ -154,9 +154,9 @@
   BOOST_TEST((table.workAt(UpstreamId("r0")) == OutstandingWork{}));
 }
 
-// Two hundred hosts hear half a second late that a desk has least to do, and a
-// call takes a tenth of that. All of them would send it what comes meanwhile,
-// and it turns most of it away.
+// 200 hosts learn half a second late that a desk has the fewest open calls,
+// while a call takes a tenth of that time. All of them would send their calls
+// there meanwhile, and it would reject most of them.
 BOOST_AUTO_TEST_CASE(many_hosts_do_not_all_choose_the_same_desk) {
   ReplicaTable table;
   std::map<UpstreamId, OutstandingWork> open;
@@ -179,7 +179,7 @@
   BOOST_TEST(sent.size() == 6U);
 }
 
-// A replica that has just started crashes under its part of all calls.
+// A replica that has just started crashes under an equal share of all calls.
 BOOST_AUTO_TEST_CASE(a_cold_upstream_gets_its_rate_and_no_more) {
   ReplicaTable table;
   table.setColdRate(ServiceId("model"), 3);
@@ -199,8 +199,8 @@
   BOOST_TEST(table.cold(ServiceId("model"), Now + seconds(4)) == 0);
 }
 
-// A host that has just started believes itself alone, and so do all others
-// after a loss of power.
+// A host that has just started knows of no other host, and after a power loss
+// none of the hosts does.
 BOOST_AUTO_TEST_CASE(a_cold_upstream_gets_nothing_before_hosts_are_known) {
   ReplicaTable table;
   table.setColdRate(ServiceId("model"), 3);
@@ -212,8 +212,8 @@
   BOOST_TEST(!!table.choose(request(""), Now));
 }
 
-// A zone's upstreams turn cold while it is evacuated; its end is heard before
-// the news of them.
+// The upstreams of an evacuated zone become cold, and the end of the evacuation
+// is received before their new registrations.
 BOOST_AUTO_TEST_CASE(an_evacuated_zone_gets_nothing_and_comes_back_as_cold) {
   ReplicaTable table;
   table.setColdRate(ServiceId("model"), 1);
@@ -234,7 +234,8 @@
   BOOST_TEST(!!table.choose(request(""), Now));
 }
 
-// A team's calls must not leave its country, and a route's not its own.
+// Calls must stay within the allowed regions of both their team and their
+// route.
 BOOST_AUTO_TEST_CASE(calls_with_homes_stay_in_the_regions_of_both) {
   ReplicaTable table;
   table.setRegions({{ZoneId("a"), "north"}, {ZoneId("b"), "south"}});
