--- a/Libraries/LibServing/ReplicaTable.h
+++ b/Libraries/LibServing/ReplicaTable.h
@@ -173,8 +173,8 @@
   /// From now on the zone's upstreams get no calls.
   void beginEvacuation(const ZoneId &zone);
   /// The zone's upstreams may be used again. They may have become cold
-  /// meanwhile, and count as cold until a newer view of the store says
-  /// otherwise.
+  /// meanwhile, and count as cold until a newer view of the store is
+  /// confirmed.
   void endEvacuation(const ZoneId &zone, Instant now);
   bool isEvacuated(const ZoneId &zone) const {
     return Evacuated.count(zone) != 0;
--- a/Tests/LibLoad/TestEngineModel.cpp
+++ b/Tests/LibLoad/TestEngineModel.cpp
@@ -68,7 +68,7 @@
 
 // One of many replicas becomes five times slower. Calls that are still sent
 // there are all late, while other replicas are idle.
-BOOST_AUTO_TEST_CASE(one_slow_upstream_is_told_from_the_others) {
+BOOST_AUTO_TEST_CASE(one_slow_upstream_is_distinguished_from_the_others) {
   EngineModel model;
   Instant now{seconds(100)};
   addFirstTokens(model, Usual, Engines[1], 100, now);
--- a/Tests/LibLoad/TestSmallParts.cpp
+++ b/Tests/LibLoad/TestSmallParts.cpp
@@ -99,7 +99,7 @@
   BOOST_TEST((limits.maxQueueWait(elsewhere) == milliseconds(100)));
 }
 
-BOOST_AUTO_TEST_CASE(without_a_target_nothing_is_turned_away) {
+BOOST_AUTO_TEST_CASE(without_a_target_nothing_is_rejected) {
   QueueWaitLimits limits;
   limits.add({Model, 1, milliseconds(1000)});
   BOOST_TEST(
--- a/Tests/LibServing/TestColdShare.cpp
+++ b/Tests/LibServing/TestColdShare.cpp
@@ -117,7 +117,7 @@
 }
 
 // Guards against a host that sends calls before it knows of any other host.
-BOOST_AUTO_TEST_CASE(a_host_that_knows_nobody_has_no_share) {
+BOOST_AUTO_TEST_CASE(a_host_without_known_hosts_has_no_share) {
   const HostId self("host-1");
   BOOST_TEST(coldRateShare(Cold, self, {}, 18) == 0);
   BOOST_TEST(coldRateShare(Cold, self, {HostId("host-2")}, 18) == 0);
--- a/Tests/LibServing/TestReplicaAutoscaler.cpp
+++ b/Tests/LibServing/TestReplicaAutoscaler.cpp
@@ -139,7 +139,7 @@
 // replicas until others have started. Counted as load four times a second, the
 // queue made the target grow by a third each time: 91 on-demand replicas were
 // started in place of 46 lost reclaimable ones.
-BOOST_AUTO_TEST_CASE(calls_that_pile_up_in_a_shortage_are_no_load) {
+BOOST_AUTO_TEST_CASE(calls_that_queue_up_in_a_shortage_are_no_load) {
   Cloud cloud;
   cloud.Bounds.MaxReplicas = 60;
   ReplicaAutoscaler autoscaler(cloud.Bounds, cloud.Shape);
--- a/Tests/LibServing/TestReplicaTable.cpp
+++ b/Tests/LibServing/TestReplicaTable.cpp
@@ -33,7 +33,7 @@
 
 // If two hosts choose different upstreams for one conversation, its prompt is
 // prefilled twice.
-BOOST_AUTO_TEST_CASE(all_hosts_choose_the_same_home) {
+BOOST_AUTO_TEST_CASE(all_hosts_choose_the_same_affinity_upstream) {
   ReplicaTable one;
   ReplicaTable other;
   for (int n = 0; n < 9; ++n) {
@@ -51,7 +51,7 @@
   BOOST_TEST(callsByUpstream.size() == 9U);
 }
 
-BOOST_AUTO_TEST_CASE(a_home_with_much_more_to_do_passes_its_calls_on) {
+BOOST_AUTO_TEST_CASE(an_affinity_upstream_with_much_more_work_is_passed_over) {
   ReplicaTable table;
   for (int n = 0; n < 3; ++n)
     table.note(replica("r" + std::to_string(n)), Now);
@@ -141,7 +141,7 @@
     BOOST_TEST(!table.isEjected(UpstreamId("r" + std::to_string(n)), Now));
 }
 
-BOOST_AUTO_TEST_CASE(what_peers_have_open_counts_until_they_say_otherwise) {
+BOOST_AUTO_TEST_CASE(open_work_of_peers_counts_until_their_next_report) {
   ReplicaTable table;
   table.note(replica("r0"), Now);
   const SourceId peer("p");
