--- a/Libraries/LibDecision/Admission.cpp
+++ b/Libraries/LibDecision/Admission.cpp
@@ -17,9 +17,10 @@
   Queue.setWeights(std::move(weights));
 }
 
-std::vector<AdmissionAction> Admission::setCallSlots(int places, Instant now) {
+std::vector<AdmissionAction> Admission::setCallSlots(int slotCount,
+                                                     Instant now) {
   advance(now);
-  Settings.CallSlots = std::max(1, places);
+  Settings.CallSlots = std::max(1, slotCount);
   std::vector<AdmissionAction> actions;
   startWaiting(now, actions);
   return actions;
@@ -39,12 +40,13 @@
 
 bool Admission::canMeetDeadline(const QueuedCall &call, Duration wait,
                                 Instant now) const {
-  return now + wait + Rate.hold(Settings.ResponseTimeDeviations) <=
+  return now + wait + Rate.responseTime(Settings.ResponseTimeDeviations) <=
          call.Deadline;
 }
 
-Duration Admission::waitFor(const QueuedCall &call, double caution) const {
-  return fromSeconds(caution * Queue.costAhead(call) / Rate.rate());
+Duration Admission::expectedWait(const QueuedCall &call,
+                                 double safetyFactor) const {
+  return fromSeconds(safetyFactor * Queue.costAhead(call) / Rate.rate());
 }
 
 std::vector<AdmissionAction> Admission::arrive(const QueuedCall &call,
@@ -56,15 +58,15 @@
         refuse(call, AdmissionRefusalCause::DeadlineUnreachable, now));
     return actions;
   }
-  // Without this an estimate that has become too high would refuse everything
-  // for good, since nothing would run to correct it.
+  // Starts the call without an estimate: an estimate that is too high would
+  // otherwise refuse every call, and no call would run to correct it.
   if (hasFreeCallSlot() && Queue.size() == 0) {
     start(call, now, actions);
     return actions;
   }
   if (Queue.queuedOf(call.OfTeam) >= Settings.MaxQueuedPerTeam)
     actions.push_back(refuse(call, AdmissionRefusalCause::QueueFull, now));
-  else if (!canMeetDeadline(call, waitFor(call, Settings.WaitSafetyFactor),
+  else if (!canMeetDeadline(call, expectedWait(call, Settings.WaitSafetyFactor),
                             now))
     actions.push_back(
         refuse(call, AdmissionRefusalCause::DeadlineUnreachable, now));
@@ -77,20 +79,20 @@
   return Rate.rate() * Queue.shareOf(team);
 }
 
-// Refused callers are given room one after the other at the rate at which the
-// service drains for their team, behind the calls that wait and the callers
-// that were refused before. Told one and the same time, they would all be back
-// at once and be refused again.
+// Spaces the retries of refused callers at the rate at which the service drains
+// for their team, after the waiting calls and the callers refused before. With
+// equal delays they would all return at once and be refused again.
 Duration Admission::retryAfter(const QueuedCall &call, Instant now) {
-  Instant &promised = ReservedUntil[call.OfTeam];
-  const Instant room =
-      std::max(now + waitFor(call, 1) + Settings.MinRetryAfter, promised);
-  if (room < now + Settings.MaxRetryAfter) {
-    promised = room + fromSeconds(call.Cost / teamRate(call.OfTeam));
-    return room - now;
+  Instant &reservedUntil = ReservedUntil[call.OfTeam];
+  const Instant availableAt = std::max(
+      now + expectedWait(call, 1) + Settings.MinRetryAfter, reservedUntil);
+  if (availableAt < now + Settings.MaxRetryAfter) {
+    reservedUntil =
+        availableAt + fromSeconds(call.Cost / teamRate(call.OfTeam));
+    return availableAt - now;
   }
-  // More have been promised room than can be for a long while. The rest is
-  // spread over the later half.
+  // The reservations already reach beyond the largest delay. Spreads the
+  // remaining callers over its second half.
   const double share = hashFraction(stableHash(std::to_string(call.Id)));
   return Settings.MaxRetryAfter / 2 +
          fromSeconds(share * toSeconds(Settings.MaxRetryAfter) / 2);
@@ -105,26 +107,26 @@
                       std::vector<AdmissionAction> &actions) {
   const bool isNew =
       Started.emplace(call.Id, StartedCall{now, call.Cost, false}).second;
-  verifyInvariant(isNew, "a call starts once", "it was started before");
+  verifyInvariant(isNew, "a call starts once", "the call was already started");
   verifyInvariant(Started.size() <=
                       static_cast<std::size_t>(Settings.CallSlots),
-                  "no more calls start than there are places",
-                  "a call was started without one");
+                  "no more calls are open than there are slots",
+                  "a call was started without a free slot");
   verifyInvariant(call.Deadline > now, "no call starts after its deadline",
-                  "the deadline had passed");
+                  "a call was started after its deadline");
   actions.push_back(
       {AdmissionKind::Start, call.Id, AdmissionRefusalCause::None, Duration{}});
 }
 
 void Admission::startWaiting(Instant now,
                              std::vector<AdmissionAction> &actions) {
-  const auto isHopeless = [&](const QueuedCall &it) {
+  const auto missesDeadline = [&](const QueuedCall &it) {
     return !canMeetDeadline(it, Duration{}, now);
   };
   while (hasFreeCallSlot() && Queue.size() > 0) {
-    std::vector<QueuedCall> hopeless;
-    const std::optional<QueuedCall> call = Queue.pop(isHopeless, hopeless);
-    for (const QueuedCall &it : hopeless)
+    std::vector<QueuedCall> expired;
+    const std::optional<QueuedCall> call = Queue.pop(missesDeadline, expired);
+    for (const QueuedCall &it : expired)
       actions.push_back(
           refuse(it, AdmissionRefusalCause::DeadlineUnreachable, now));
     if (call)
@@ -134,9 +136,9 @@
 
 void Admission::begin(std::uint64_t callId, Instant now) {
   const auto found = Started.find(callId);
-  if (found == Started.end() || found->second.HasBegun)
+  if (found == Started.end() || found->second.HasFirstToken)
     return;
-  found->second.HasBegun = true;
+  found->second.HasFirstToken = true;
   Rate.noteResponseTime(now - found->second.At);
 }
 
@@ -148,7 +150,7 @@
   const auto found = Started.find(callId);
   if (found == Started.end())
     return actions;
-  if (!found->second.HasBegun)
+  if (!found->second.HasFirstToken)
     Rate.noteResponseTime(now - found->second.At);
   if (wasBusy)
     Rate.noteCompletedCost(found->second.Cost);
@@ -170,13 +172,13 @@
 
 std::vector<AdmissionAction> Admission::tick(Instant now) {
   advance(now);
-  const std::vector<QueuedCall> hopeless =
+  const std::vector<QueuedCall> expired =
       Queue.removeIf([&](const QueuedCall &it) {
         return !canMeetDeadline(it, Duration{}, now);
       });
   std::vector<AdmissionAction> actions;
-  actions.reserve(hopeless.size());
-  for (const QueuedCall &it : hopeless)
+  actions.reserve(expired.size());
+  for (const QueuedCall &it : expired)
     actions.push_back(
         refuse(it, AdmissionRefusalCause::DeadlineUnreachable, now));
   startWaiting(now, actions);
--- a/Libraries/LibDecision/Admission.h
+++ b/Libraries/LibDecision/Admission.h
@@ -16,59 +16,66 @@
 
 enum class AdmissionRefusalCause {
   None,
-  /// Its answer could not begin before its deadline.
+  /// The first token or the answer cannot arrive before the deadline.
   DeadlineUnreachable,
-  /// Its team has as many calls waiting as it may.
+  /// The team already has MaxQueuedPerTeam calls waiting.
   QueueFull,
 };
 
-/// What is to be done with a call, once for each call.
+/// The decision on one call. Each call gets exactly one.
 struct AdmissionAction {
   AdmissionKind Kind = AdmissionKind::Start;
   std::uint64_t CallId = 0;
   AdmissionRefusalCause Reason = AdmissionRefusalCause::None;
-  /// When a refused caller should come back.
+  /// Delay after which a refused caller should retry.
   Duration RetryAfter{};
 };
 
 struct AdmissionSettings {
-  /// Calls that this daemon may have open at the service's upstreams.
+  /// The largest number of this daemon's calls that are open at the service's
+  /// upstreams at once. Further calls wait.
   int CallSlots = 16;
   std::size_t MaxQueuedPerTeam = 256;
-  /// Cost that a team of weight 1 may start in each round.
+  /// Cost that a team of weight 1 may start per scheduling round, in units of
+  /// QueuedCall::Cost.
   double Quantum = 1;
-  /// Cost a second that is drained, until it has been measured.
+  /// Assumed cost drained per second until a rate has been measured.
   double InitialDrainRate = 10;
-  /// How long a started call takes to its first token, until measured.
+  /// Assumed time from a call's start to its first token until one has been
+  /// measured.
   Duration InitialResponseTime = milliseconds(200);
-  /// What the expected wait is multiplied with before a call is let in: calls
-  /// that come later and go first make it longer.
+  /// Factor on the expected wait when a call is admitted. Calls that arrive
+  /// later but start earlier make the real wait longer.
   double WaitSafetyFactor = 1.5;
-  /// Deviations that are added to the expected time to a first token.
+  /// Number of mean deviations added to the mean response time when a deadline
+  /// is checked.
   double ResponseTimeDeviations = 1;
   Duration MinRetryAfter = seconds(1);
   Duration MaxRetryAfter = seconds(30);
 };
 
-/// Decides for one service which calls start, which wait and which are
-/// refused. A call that can't make its deadline is refused at once, with the
-/// time at which there will be room for it; the rest start by priority and,
-/// within one, fairly between teams. Not thread-safe.
+/// Admission control of one service: decides which calls start, wait or are
+/// refused. A call that cannot meet its deadline is refused at once, with a
+/// delay after which there is capacity for it. The other calls start by
+/// priority and, within one priority, fairly between teams. Not thread-safe.
 class Admission {
 public:
   explicit Admission(AdmissionSettings settings = {});
 
-  /// The teams' weights; a team that isn't named weighs 1.
+  /// Sets the teams' weights. A team that isn't listed has weight 1.
   void setTeams(const std::vector<Team> &teams);
-  std::vector<AdmissionAction> setCallSlots(int places, Instant now);
+  std::vector<AdmissionAction> setCallSlots(int slotCount, Instant now);
   std::vector<AdmissionAction> arrive(const QueuedCall &call, Instant now);
-  /// A started call has its first token; it keeps its place until it is over.
+  /// Records that a started call has produced its first token. It keeps its
+  /// slot until it finishes.
   void begin(std::uint64_t callId, Instant now);
-  /// A started call is over or has failed.
+  /// Frees the slot of a call that completed or failed.
   std::vector<AdmissionAction> finish(std::uint64_t callId, Instant now);
-  /// The caller has gone; the call waits no longer or gives its place back.
+  /// Removes a call whose caller disconnected from the queue, or frees its
+  /// slot.
   std::vector<AdmissionAction> cancel(std::uint64_t callId, Instant now);
-  /// Refuses calls that have become hopeless. To be called often.
+  /// Refuses waiting calls that can no longer meet their deadline. Must be
+  /// called periodically.
   std::vector<AdmissionAction> tick(Instant now);
 
   std::size_t queued() const { return Queue.size(); }
@@ -78,18 +85,18 @@
   struct StartedCall {
     Instant At;
     double Cost = 0;
-    bool HasBegun = false;
+    bool HasFirstToken = false;
   };
 
   bool hasFreeCallSlot() const;
-  /// Accounts for the time since the last event.
+  /// Accounts for the time since the previous event.
   void advance(Instant now);
-  Duration waitFor(const QueuedCall &call, double caution) const;
+  Duration expectedWait(const QueuedCall &call, double safetyFactor) const;
   bool canMeetDeadline(const QueuedCall &call, Duration wait,
                        Instant now) const;
   AdmissionAction refuse(const QueuedCall &call, AdmissionRefusalCause reason,
                          Instant now);
-  /// Cost a second that is drained for the team among those that wait.
+  /// Cost drained per second for the team, given the other waiting teams.
   double teamRate(const TeamId &team) const;
   Duration retryAfter(const QueuedCall &call, Instant now);
   void start(const QueuedCall &call, Instant now,
@@ -101,7 +108,7 @@
   DrainRate Rate;
   std::unordered_map<std::uint64_t, StartedCall> Started;
   Instant Now{};
-  /// Until when each team's room has been promised to its refused callers.
+  /// Time up to which each team's capacity is reserved for its refused callers.
   std::map<TeamId, Instant> ReservedUntil;
 };
 
--- a/Libraries/LibDecision/AnswerStream.cpp
+++ b/Libraries/LibDecision/AnswerStream.cpp
@@ -13,7 +13,7 @@
 
 AnswerAttempt AnswerStream::beginAttempt() {
   verifyInvariant(!Ended, "answer-ends-once",
-                  "an attempt was begun after the end");
+                  "an attempt was started after the end");
   Current = ++Last;
   return Current;
 }
@@ -25,9 +25,11 @@
   return true;
 }
 
-/// Why an arrival isn't the current attempt's; counts it.
+/// Returns why a token or an end doesn't belong to the current attempt and
+/// counts it; nothing if it does.
 std::optional<TokenVerdict>
-AnswerStream::whyNotCurrent(const RequestId &request, AnswerAttempt attempt) {
+AnswerStream::rejectUnlessCurrent(const RequestId &request,
+                                  AnswerAttempt attempt) {
   if (request != Request || attempt == 0 || attempt > Last) {
     ++Dropped.Misrouted;
     return TokenVerdict::Misrouted;
@@ -40,8 +42,8 @@
 }
 
 TokenVerdict AnswerStream::take(const ArrivedToken &token) {
-  if (auto why = whyNotCurrent(token.Request, token.Attempt))
-    return *why;
+  if (auto rejection = rejectUnlessCurrent(token.Request, token.Attempt))
+    return *rejection;
   if (token.Offset < nextOffset()) {
     ++Dropped.Duplicated;
     return TokenVerdict::Duplicated;
@@ -52,20 +54,20 @@
     return TokenVerdict::Gap;
   }
   verifyInvariant(token.Request == Request, "answer-is-of-its-request",
-                  "a token of another request was taken");
+                  "a token of another request was accepted");
   verifyInvariant(!Ended, "answer-ends-once",
-                  "a token was taken after the end");
+                  "a token was accepted after the end");
   Tokens.push_back(token.Text);
   verifyInvariant(Tokens.size() == token.Offset + 1,
                   "answer-offsets-are-contiguous",
-                  "a token stands at another offset than its own");
+                  "a token was stored at an offset other than its own");
   return TokenVerdict::Taken;
 }
 
 EndVerdict AnswerStream::finish(const ArrivedEnd &end) {
-  if (auto why = whyNotCurrent(end.Request, end.Attempt))
-    return *why == TokenVerdict::Late ? EndVerdict::Late
-                                      : EndVerdict::Misrouted;
+  if (auto rejection = rejectUnlessCurrent(end.Request, end.Attempt))
+    return *rejection == TokenVerdict::Late ? EndVerdict::Late
+                                            : EndVerdict::Misrouted;
   Current = 0;
   if (end.Length != nextOffset()) {
     ++Dropped.TruncatedEnds;
@@ -92,7 +94,7 @@
 void AnswerStream::reconnect(std::optional<std::uint64_t> lastEventId) {
   const std::uint64_t events = Tokens.size() + (Ended ? 1 : 0);
   if (lastEventId && *lastEventId >= events)
-    throw UnknownEventId("the answer has had no event " +
+    throw UnknownEventId("the answer has not sent an event with id " +
                          std::to_string(*lastEventId));
   NextToSend = lastEventId ? *lastEventId + 1 : 0;
 }
--- a/Libraries/LibDecision/AnswerStream.h
+++ b/Libraries/LibDecision/AnswerStream.h
@@ -9,15 +9,15 @@
 
 namespace sorrelbay {
 
-/// One accepted request, unique across all entry hosts.
+/// Identifies one accepted request, unique across all entry hosts.
 using RequestId = Identifier<struct RequestTag>;
 
-/// One try of an upstream at one answer; counts up from 1 within the answer,
-/// also across a handover to another entry host. 0 means none.
+/// Number of one attempt at an answer by an upstream. Counts up from 1 within
+/// the answer, also across a handover to another entry host. 0 means none.
 using AnswerAttempt = std::uint64_t;
 
-/// A token as it came from an upstream. The offset counts the answer's tokens
-/// from 0, whichever attempt they came from.
+/// A token received from an upstream. The offset is the token's index in the
+/// whole answer, counted from 0 across all attempts.
 struct ArrivedToken {
   RequestId Request;
   AnswerAttempt Attempt = 0;
@@ -25,40 +25,42 @@
   std::string Text;
 };
 
-/// The end of a stream as it came from an upstream. Without a stated length
-/// the end can't be told from a connection that broke.
+/// The end of a stream received from an upstream. Without a stated length it
+/// cannot be distinguished from a broken connection.
 struct ArrivedEnd {
   RequestId Request;
   AnswerAttempt Attempt = 0;
-  /// The tokens of the whole answer.
+  /// Number of tokens of the whole answer.
   std::optional<std::uint64_t> Length;
 };
 
-/// What became of a token.
+/// The result of receiving a token.
 enum class TokenVerdict {
   Taken,
-  /// From an attempt that is over, or after the end of the answer.
+  /// From an attempt that is over, or received after the end of the answer.
   Late,
-  /// Of another request, or from an attempt that was never begun.
+  /// Belongs to another request, or to an attempt that was never started.
   Misrouted,
-  /// At an offset that was taken before.
+  /// The offset was received before.
   Duplicated,
-  /// Beyond the next offset: tokens were lost, and the attempt is over.
+  /// The offset is beyond the next one: tokens were lost, and the attempt is
+  /// over.
   Gap,
 };
 
-/// What became of an end.
+/// The result of receiving an end.
 enum class EndVerdict {
   Whole,
   Late,
   Misrouted,
-  /// The length is absent or isn't that of the tokens taken; the attempt is
-  /// over and the answer is not.
+  /// The length is missing or differs from the number of tokens received. The
+  /// attempt is over, the answer is not complete.
   Truncated,
 };
 
-/// An event for the caller. The id is the token's offset, or for the end the
-/// length of the answer, so that a Last-Event-ID says all that is needed.
+/// A server-sent event for the caller. The id is the token's offset or, for the
+/// end, the length of the answer, so that Last-Event-ID alone is enough to
+/// resume.
 struct AnswerEvent {
   std::uint64_t Id = 0;
   bool IsEnd = false;
@@ -69,7 +71,7 @@
   }
 };
 
-/// How many arrivals were not taken, by cause.
+/// Number of tokens and ends that were dropped, by cause.
 struct DroppedCount {
   std::uint64_t Late = 0;
   std::uint64_t Misrouted = 0;
@@ -78,29 +80,29 @@
   std::uint64_t TruncatedEnds = 0;
 };
 
-/// A caller names an event that this answer has not had.
+/// The caller named an event id that this answer has not sent.
 class UnknownEventId : public Error {
 public:
   using Error::Error;
 };
 
-/// One caller's answer while it is put together from one or more attempts.
+/// Assembles one caller's answer from one or more attempts.
 ///
-/// Upstreams, and whatever lies between them and us, deliver late, twice, to
-/// the wrong stream or not at all; a caller would see a garbled text or another
-/// caller's. So a token is taken only from the current attempt and only at the
-/// next offset, and an end only with the right length. Not safe for use from
-/// several threads; the owner locks.
+/// Upstreams and the network deliver tokens late, twice, to the wrong stream or
+/// not at all, which would garble the caller's text or mix in another caller's.
+/// A token is therefore accepted only from the current attempt and only at the
+/// next offset, and an end only with the right length. Not thread-safe; the
+/// owner must lock.
 class AnswerStream {
 public:
   explicit AnswerStream(RequestId request);
-  /// An answer taken over from another entry host: its tokens so far, and the
-  /// last attempt that was begun there.
+  /// Resumes an answer from another entry host, with its tokens so far and the
+  /// last attempt started there.
   AnswerStream(RequestId request, std::vector<std::string> tokens,
                AnswerAttempt lastAttempt);
 
   const RequestId &request() const { return Request; }
-  /// Where the next attempt has to go on.
+  /// The offset at which the next attempt must start.
   std::uint64_t nextOffset() const { return Tokens.size(); }
   const std::vector<std::string> &tokens() const { return Tokens; }
   AnswerAttempt currentAttempt() const { return Current; }
@@ -109,26 +111,27 @@
   bool hasEnded() const { return Ended; }
   const DroppedCount &dropped() const { return Dropped; }
 
-  /// Begins an attempt at nextOffset(). The attempt before is over; what still
-  /// comes from it is late.
+  /// Starts an attempt at nextOffset() and ends the previous one, whose later
+  /// tokens are dropped as late.
   AnswerAttempt beginAttempt();
-  /// The attempt's connection closed, fell silent or was refused. False if the
-  /// attempt was over already.
+  /// Ends an attempt whose connection closed, timed out or was refused. Returns
+  /// false if the attempt was over already.
   bool abandonAttempt(AnswerAttempt attempt);
   TokenVerdict take(const ArrivedToken &token);
   EndVerdict finish(const ArrivedEnd &end);
 
-  /// The id of the event that nextEvent() gives next.
+  /// The id of the event that nextEvent() returns next.
   std::uint64_t nextEventId() const { return NextToSend; }
-  /// The next event for the caller's present connection, if there is one.
+  /// The next event for the caller's current connection, or nothing if there is
+  /// none.
   std::optional<AnswerEvent> nextEvent();
-  /// The caller came back, having seen that event last; without one, nothing.
-  /// Throws UnknownEventId.
+  /// Resumes after the last event that the caller received, or from the
+  /// beginning if it received none. Throws UnknownEventId.
   void reconnect(std::optional<std::uint64_t> lastEventId);
 
 private:
-  std::optional<TokenVerdict> whyNotCurrent(const RequestId &request,
-                                            AnswerAttempt attempt);
+  std::optional<TokenVerdict> rejectUnlessCurrent(const RequestId &request,
+                                                  AnswerAttempt attempt);
 
   RequestId Request;
   std::vector<std::string> Tokens;
--- a/Libraries/LibDecision/BucketUpdater.cpp
+++ b/Libraries/LibDecision/BucketUpdater.cpp
@@ -4,9 +4,9 @@
 
 namespace sorrelbay {
 
-// An edit that lost this many races is given up as in an outage, so that its
+// An edit fails as in an outage after this many lost update races, so that its
 // caller gets an answer.
-static constexpr int MaxRounds = 16;
+static constexpr int MaxUpdateTries = 16;
 
 void BucketUpdater::submit(EditNumber number, LedgerEdit edit) {
   Pending pending;
@@ -16,7 +16,7 @@
 }
 
 std::optional<BucketRequest> BucketUpdater::next(Instant at) {
-  if (IsRequestOut || Waiting.empty())
+  if (IsRequestInFlight || Waiting.empty())
     return std::nullopt;
   if (!IsKnown)
     return request(BucketRequest::Kind::Read);
@@ -26,7 +26,7 @@
     return request(BucketRequest::Kind::Read);
   IsFresh = false;
   if (evaluation == Evaluation::Unchanged) {
-    settle(std::exchange(Waiting, {}));
+    moveToFinished(std::exchange(Waiting, {}));
     return std::nullopt;
   }
   Next = std::move(bucket);
@@ -52,7 +52,7 @@
 }
 
 BucketRequest BucketUpdater::request(BucketRequest::Kind kind) {
-  IsRequestOut = true;
+  IsRequestInFlight = true;
   BucketRequest request;
   request.What = kind;
   return request;
@@ -65,17 +65,17 @@
     onUnavailable();
     return;
   }
-  IsRequestOut = false;
+  IsRequestInFlight = false;
   Version = object ? object->Version : AbsentVersion;
   IsKnown = true;
   IsFresh = true;
 }
 
 void BucketUpdater::onWritten(std::uint64_t version) {
-  IsRequestOut = false;
+  IsRequestInFlight = false;
   Known = std::move(Next);
   Version = version;
-  settle(std::exchange(InFlight, {}));
+  moveToFinished(std::exchange(InFlight, {}));
 }
 
 void BucketUpdater::onConflict() { retryLater(); }
@@ -87,26 +87,26 @@
 }
 
 void BucketUpdater::onUnavailable() {
-  IsRequestOut = false;
+  IsRequestInFlight = false;
   IsKnown = false;
   failAll();
 }
 
-// Puts the edits of the failed write before those that came since, and has the
-// bucket read again.
+// Requeues the edits of the failed write before those submitted since, and
+// forces a read of the bucket.
 void BucketUpdater::retryLater() {
-  IsRequestOut = false;
+  IsRequestInFlight = false;
   IsKnown = false;
-  std::vector<Pending> later = std::exchange(Waiting, {});
+  std::vector<Pending> newer = std::exchange(Waiting, {});
   for (Pending &it : InFlight) {
-    it.Rounds++;
-    if (it.Rounds >= MaxRounds)
+    it.Tries++;
+    if (it.Tries >= MaxUpdateTries)
       Finished.push_back({it.Number, {EditVerdict::Unavailable, {}, true}});
     else
       Waiting.push_back(std::move(it));
   }
   InFlight.clear();
-  for (Pending &it : later)
+  for (Pending &it : newer)
     Waiting.push_back(std::move(it));
 }
 
@@ -119,8 +119,8 @@
   }
 }
 
-void BucketUpdater::settle(std::vector<Pending> settled) {
-  for (Pending &it : settled)
+void BucketUpdater::moveToFinished(std::vector<Pending> edits) {
+  for (Pending &it : edits)
     Finished.push_back({it.Number, std::move(it.Outcome)});
 }
 
--- a/Libraries/LibDecision/BucketUpdater.h
+++ b/Libraries/LibDecision/BucketUpdater.h
@@ -6,7 +6,7 @@
 
 namespace sorrelbay {
 
-/// What to ask of the object API for one bucket.
+/// A request to the object API for one bucket.
 struct BucketRequest {
   enum class Kind { Read, Write };
   Kind What = Kind::Read;
@@ -15,68 +15,70 @@
   std::uint64_t ExpectedVersion = AbsentVersion;
 };
 
-/// The submitter's own number for an edit.
+/// The submitter's number for an edit.
 using EditNumber = std::uint64_t;
 
-/// An edit whose fate is settled.
+/// An edit with its final outcome.
 struct FinishedEdit {
   EditNumber Number = 0;
   EditOutcome Outcome;
 };
 
-/// Brings one daemon's edits of one bucket into the object API. One request is
-/// out at a time; all edits that came meanwhile share the next conditional
-/// update, so that a busy bucket costs one write for many calls.
+/// Applies one daemon's edits of one bucket through the object API. At most one
+/// request is in flight. All edits submitted meanwhile share the next
+/// conditional update, so that a busy bucket needs one write for many calls.
 ///
-/// No edit is settled on what this daemon believes: an outcome that changes
-/// the bucket is told only after the conditional update took effect, and one
-/// that changes nothing only from a bucket read since the edit came.
+/// No outcome is based on this daemon's cached state alone: an outcome that
+/// changes the bucket is reported only after the conditional update took
+/// effect, and one that changes nothing only from a bucket read after the edit
+/// was submitted.
 class BucketUpdater {
 public:
   explicit BucketUpdater(LedgerLimits limits) : Limits(limits) {}
 
   void submit(EditNumber number, LedgerEdit edit);
-  /// The request to send now; nothing while one is out or no edit waits.
+  /// Returns the request to send now, or nothing while one is in flight or no
+  /// edit is waiting.
   std::optional<BucketRequest> next(Instant at);
 
-  /// The answers to the request that is out. A body that can't be read counts
-  /// as an outage.
+  /// Results of the request in flight. A body that can't be decoded counts as
+  /// an outage.
   void onRead(const std::optional<StoredObject> &object);
   void onWritten(std::uint64_t version);
   void onConflict();
-  /// Nothing was read, or the write did not take effect.
+  /// The read failed, or the write did not take effect.
   void onUnavailable();
-  /// The write's reply was lost. The bucket is read again: the edits find
-  /// their own marks in it, or are written once more.
+  /// The write's reply was lost. The bucket is read again; edits that took
+  /// effect are recognised by their own entries, the others are written again.
   void onWriteOutcomeUnknown();
 
-  /// The edits settled since the last call.
+  /// Returns the edits finished since the last call.
   std::vector<FinishedEdit> takeFinished();
-  bool isIdle() const { return !IsRequestOut && Waiting.empty(); }
+  bool isIdle() const { return !IsRequestInFlight && Waiting.empty(); }
 
 private:
   struct Pending {
     EditNumber Number = 0;
     LedgerEdit Edit;
     EditOutcome Outcome;
-    int Rounds = 0;
+    int Tries = 0;
     bool MayHaveBeenWritten = false;
   };
   enum class Evaluation { Changed, Unchanged, NeedsRead };
 
   Evaluation evaluate(LedgerBucket &bucket, Instant at);
   BucketRequest request(BucketRequest::Kind kind);
-  void settle(std::vector<Pending> settled);
+  void moveToFinished(std::vector<Pending> edits);
   void failAll();
   void retryLater();
 
   LedgerLimits Limits;
-  /// Waiting for the next update, and part of the one that is out.
+  /// Edits waiting for the next update, and edits of the update in flight.
   std::vector<Pending> Waiting;
   std::vector<Pending> InFlight;
   std::vector<FinishedEdit> Finished;
-  bool IsRequestOut = false;
-  /// The bucket as last read or written, and what is being written.
+  bool IsRequestInFlight = false;
+  /// The bucket as last read or written, and the one being written.
   bool IsKnown = false;
   bool IsFresh = false;
   LedgerBucket Known;
--- a/Libraries/LibDecision/Bundle.h
+++ b/Libraries/LibDecision/Bundle.h
@@ -8,40 +8,43 @@
 
 namespace sorrelbay {
 
-/// What a service's upstreams are.
+/// The kind of a service's upstreams.
 enum class UpstreamKind { Engine, Desk };
 
-/// What to do when a move's evidence can't be had before its deadline.
+/// What a rollout does when its deadline passes before there is enough
+/// evidence.
 enum class DeadlinePolicy {
-  /// Go to the full share on the evidence there is.
+  /// Continue to the full share with the evidence at hand.
   InTime,
-  /// Take the version back.
+  /// Roll the version back.
   Safe,
 };
 
-/// A kind of call: its own latency target, its own evidence.
+/// A kind of call, with its own latency target and evidence.
 struct Route {
   RouteId Id;
   ServiceId Service;
-  /// Whether a call may be sent twice. False for bookings and dispatches.
+  /// Whether a call may be sent more than once. False for bookings and
+  /// dispatches.
   bool Repeatable = true;
-  /// Higher goes first; alarms and dispatches are above chat.
+  /// Higher values start first. Alarms and dispatches are above chat.
   int Priority = 0;
-  /// First token, or the whole answer of a desk call.
+  /// Time to the first token or, for a desk call, to the whole answer.
   Duration LatencyTarget{};
-  /// The gap between tokens; zero for desks.
+  /// Time between two tokens; zero for desks.
   Duration TokenTarget{};
 };
 
-/// One version of a service that the bundle names.
+/// One version of a service listed in the bundle.
 struct UpstreamVersion {
   VersionId Id;
   ServiceId Service;
-  /// The share of the service's calls that the move ends with, 0 to 1.
+  /// Fraction of the service's calls, 0 to 1, that the version gets when its
+  /// rollout is complete.
   double Share = 0;
-  /// When the move to that share must be finished; the epoch if there is none.
+  /// Time by which the rollout must be complete; the epoch if there is none.
   Instant Deadline{};
-  /// The adapters that are loaded with it.
+  /// Adapters loaded with the version.
   std::vector<std::string> Adapters;
 };
 
@@ -52,22 +55,23 @@
   DeadlinePolicy Policy = DeadlinePolicy::Safe;
 };
 
-/// A team and its weight among the teams that wait.
+/// A team and its weight in fair queueing.
 struct Team {
   TeamId Id;
   int Weight = 1;
 };
 
-/// What a replica may cost, for the mover.
+/// Limits on replica costs, for the host planner.
 struct CostPolicy {
-  /// The highest share of a service's replicas on reclaimable hosts, 0 to 1.
+  /// Largest fraction of a service's replicas on reclaimable hosts, 0 to 1.
   double ReclaimableShare = 1;
-  /// Micro-units of money an hour for all hosts; zero for no limit.
+  /// Largest cost of all hosts in micro-units of money per hour; zero for no
+  /// limit.
   std::int64_t HourlyLimit = 0;
 };
 
-/// All that operators decide, in one versioned value. It comes into force only
-/// signed, and the highest committed generation wins.
+/// The operators' complete configuration in one versioned value. It takes
+/// effect only if it is signed, and the highest committed generation wins.
 struct Bundle {
   std::uint64_t Generation = 0;
   std::vector<Service> Services;
@@ -77,7 +81,8 @@
   CostPolicy Cost;
 };
 
-/// The entry with that id, or null. The pointer lives as long as the bundle.
+/// The entry with the given id, or null. The pointer is valid as long as the
+/// bundle.
 const Route *findRoute(const Bundle &bundle, const RouteId &id);
 const Service *findService(const Bundle &bundle, const ServiceId &id);
 const Team *findTeam(const Bundle &bundle, const TeamId &id);
--- a/Libraries/LibDecision/CallTicket.cpp
+++ b/Libraries/LibDecision/CallTicket.cpp
@@ -4,8 +4,9 @@
 
 namespace sorrelbay {
 
-// "ticket:OWNER@ADDRESS:EXPIRY:SERIAL". The last two are decimal numbers, and
-// an owner's name has no '@', so that an address may contain anything.
+// The format is "ticket:OWNER@ADDRESS:EXPIRY:SERIAL". EXPIRY and SERIAL are
+// decimal numbers, and an owner's name has no '@', so that the address may
+// contain any character.
 static constexpr std::string_view Prefix = "ticket:";
 static constexpr char AddressSign = '@';
 static constexpr char Separator = ':';
@@ -32,7 +33,7 @@
   return n;
 }
 
-// Takes what follows the last separator off the end of the text.
+// Removes the last separator and the text after it, which is returned.
 static std::optional<std::string_view> takeLast(std::string_view &text) {
   const std::size_t at = text.rfind(Separator);
   if (at == std::string_view::npos)
@@ -49,18 +50,19 @@
   text.remove_prefix(Prefix.size());
   const auto serial = takeLast(text);
   const auto expiry = takeLast(text);
-  const std::size_t sign = text.find(AddressSign);
-  if (!serial || !expiry || sign == 0 || sign == std::string_view::npos)
+  const std::size_t addressSign = text.find(AddressSign);
+  if (!serial || !expiry || addressSign == 0 ||
+      addressSign == std::string_view::npos)
     return std::nullopt;
-  const auto ticks = parseNumber<std::int64_t>(*expiry);
-  const auto number = parseNumber<std::uint64_t>(*serial);
-  if (!ticks || !number)
+  const auto expiryTicks = parseNumber<std::int64_t>(*expiry);
+  const auto serialNumber = parseNumber<std::uint64_t>(*serial);
+  if (!expiryTicks || !serialNumber)
     return std::nullopt;
   CallTicket ticket;
-  ticket.Owner = IncarnationId(std::string(text.substr(0, sign)));
-  ticket.Address = text.substr(sign + 1);
-  ticket.Expiry = Instant(Duration(*ticks));
-  ticket.Serial = *number;
+  ticket.Owner = IncarnationId(std::string(text.substr(0, addressSign)));
+  ticket.Address = text.substr(addressSign + 1);
+  ticket.Expiry = Instant(Duration(*expiryTicks));
+  ticket.Serial = *serialNumber;
   return ticket;
 }
 
--- a/Libraries/LibDecision/CallTicket.h
+++ b/Libraries/LibDecision/CallTicket.h
@@ -5,16 +5,15 @@
 
 namespace sorrelbay {
 
-/// A call key that one daemon's incarnation has given out and that only this
-/// incarnation ever runs, so that no store is needed to run it at most once.
-/// It grants nothing: one made up by a caller runs no more than once either,
-/// so it carries no signature.
+/// A call key issued by one incarnation of a daemon. Only this incarnation ever
+/// runs the call, so no store is needed to run it at most once. A ticket is
+/// unsigned because it grants nothing: a forged one runs at most once, too.
 struct CallTicket {
   IncarnationId Owner;
-  /// Where the owner listens for callers, "ip:port". Another process may have
-  /// that address by now, so it is only where to ask for the owner.
+  /// The address, "ip:port", at which the owner listens for callers. Another
+  /// process may have it by now, so it only says where to look for the owner.
   std::string Address;
-  /// By the owner's clock; no other host compares it.
+  /// By the owner's clock; no other host evaluates it.
   Instant Expiry{};
   std::uint64_t Serial = 0;
 
@@ -24,10 +23,10 @@
   }
 };
 
-/// The ticket as a caller sends it in place of its own key.
+/// The ticket in the form that a caller sends as its call key.
 IdempotencyKey ticketKey(const CallTicket &ticket);
 
-/// The ticket that the key is, or nothing if it is a caller's own key.
+/// Parses a ticket. Returns nothing if the key is a caller's own key.
 std::optional<CallTicket> parseTicket(const IdempotencyKey &key);
 
 } // namespace sorrelbay
--- a/Libraries/LibDecision/CanaryJudge.cpp
+++ b/Libraries/LibDecision/CanaryJudge.cpp
@@ -5,46 +5,47 @@
 
 namespace sorrelbay {
 
-// No version is held to fewer bad calls than this, since the old version's
-// true rate is never known better.
-static constexpr double LeastOldRate = 0.002;
-static constexpr double LargestOldRate = 0.8;
-static constexpr double LargestRate = 0.99;
+// Lower bound of the old version's rate, since its true rate is never known
+// more precisely. A new version is not expected to have a lower rate than this.
+static constexpr double MinOldRate = 0.002;
+static constexpr double MaxOldRate = 0.8;
+static constexpr double MaxRate = 0.99;
 static constexpr std::array<BadCallKind, 2> Reasons = {BadCallKind::Failure,
                                                        BadCallKind::Lateness};
-// Calls that the old version's long-run rate counts for in an interval. Late
-// answers come in waves that hit both versions, so there the interval's own
-// rate must soon outweigh it.
+// Weight of the old version's long-run rate in an interval, in calls. Late
+// answers come in waves that affect both versions, so for lateness the rate of
+// the interval must soon outweigh it.
 static constexpr double LongRunCalls = 300;
 static constexpr double LongRunCallsOfLateness = 20;
-// What is assumed of the old version before it was called.
-static constexpr double AssumedRate = 0.01;
-static constexpr double AssumedCalls = 20;
-// The old rate is taken so many standard errors above its estimate.
+// Prior of the old version: the assumed rate and its weight in calls.
+static constexpr double PriorRate = 0.01;
+static constexpr double PriorCalls = 20;
+// Number of standard errors added to the estimated rate of the old version.
 static constexpr double OldRateMargin = 0.5;
-// The old version's odds of a late answer are taken for so many times what they
-// were, when it is not called any more.
-static constexpr double OddsAlone = 5;
-// How the false alarms are shared out: half to all routes together, half to
-// the single routes.
-static constexpr double WeightOfAll = 0.5;
-static constexpr double WeightOfReason = 0.5;
-// An interval waits for calls of the old version to compare with, until it has
-// so many times the calls that end it.
+// Factor on the old version's odds of a late answer when it gets too few calls
+// to compare with.
+static constexpr double OddsWithoutComparison = 5;
+// Split of the false alarm probability: half to all routes together, half to
+// the single routes, and half to each kind of bad call.
+static constexpr double AllRoutesWeight = 0.5;
+static constexpr double ReasonWeight = 0.5;
+// An interval without enough calls to the old version stays open until the new
+// version has had this many times the calls that normally end it.
 static constexpr std::uint64_t IntervalGrowth = 10;
 
 static std::uint64_t badCalls(const EvidenceCount &count, BadCallKind reason) {
   return reason == BadCallKind::Failure ? count.Failures : count.Late;
 }
 
-static std::uint64_t grown(std::uint64_t now, std::uint64_t before) {
+static std::uint64_t increase(std::uint64_t now, std::uint64_t before) {
   return now - std::min(now, before);
 }
 
 static EvidenceCount since(const EvidenceCount &now,
                            const EvidenceCount &before) {
-  return {grown(now.Calls, before.Calls), grown(now.Failures, before.Failures),
-          grown(now.Late, before.Late)};
+  return {increase(now.Calls, before.Calls),
+          increase(now.Failures, before.Failures),
+          increase(now.Late, before.Late)};
 }
 
 static ComparedCounts since(const ComparedCounts &now,
@@ -58,54 +59,55 @@
   sum.Late += more.Late;
 }
 
-/// Whether too few calls went to the old version in the interval to compare
-/// with: after the full share.
-static bool isAlone(const ComparedCounts &interval) {
+/// Whether the old version had too few calls in the interval to compare with,
+/// as happens after the full share has moved.
+static bool hasTooFewOldCalls(const ComparedCounts &interval) {
   constexpr std::uint64_t NewCallsForOne = 50;
   return interval.Old.Calls * NewCallsForOne < interval.New.Calls;
 }
 
-/// The rate with the odds multiplied.
+/// Returns the rate whose odds are the given factor times those of `rate`.
 static double withOdds(double rate, double factor) {
   const double odds = factor * rate / (1 - rate);
   return odds / (1 + odds);
 }
 
-/// Calls that the old version's long-run rate stands for in an interval.
+/// Weight, in calls, of the old version's long-run rate in an interval.
 static double longRunWeight(const EvidenceCount &longRun, BadCallKind reason) {
-  const double most =
+  const double maxWeight =
       reason == BadCallKind::Lateness ? LongRunCallsOfLateness : LongRunCalls;
-  return std::min(most, static_cast<double>(longRun.Calls) + AssumedCalls);
+  return std::min(maxWeight, static_cast<double>(longRun.Calls) + PriorCalls);
 }
 
-/// The old version's rate in the interval, drawn towards its long-run rate.
+/// Estimated rate of the old version in the interval, shrunk towards its
+/// long-run rate.
 static double oldRate(const EvidenceCount &longRun,
                       const ComparedCounts &interval, BadCallKind reason) {
   const auto longCalls = static_cast<double>(longRun.Calls);
   const auto longBad = static_cast<double>(badCalls(longRun, reason));
-  const double steady =
-      (longBad + AssumedRate * AssumedCalls) / (longCalls + AssumedCalls);
+  const double longRunRate =
+      (longBad + PriorRate * PriorCalls) / (longCalls + PriorCalls);
   const double weight = longRunWeight(longRun, reason);
   const auto calls = static_cast<double>(interval.Old.Calls);
   const auto bad = static_cast<double>(badCalls(interval.Old, reason));
-  const double rate = (bad + steady * weight) / (calls + weight);
+  const double rate = (bad + longRunRate * weight) / (calls + weight);
   const double deviation = std::sqrt(rate * (1 - rate) / (calls + weight));
-  const double wary = std::clamp(rate + OldRateMargin * deviation, LeastOldRate,
-                                 LargestOldRate);
-  // A zone's reclaim makes every version late. With nothing beside it, only
-  // gross lateness is held against the new one.
-  if (reason == BadCallKind::Lateness && isAlone(interval))
-    return withOdds(wary, OddsAlone);
-  return wary;
+  const double upperEstimate =
+      std::clamp(rate + OldRateMargin * deviation, MinOldRate, MaxOldRate);
+  // A zone's reclaim makes every version late. Without calls to the old version
+  // to compare with, only severe lateness counts against the new one.
+  if (reason == BadCallKind::Lateness && hasTooFewOldCalls(interval))
+    return withOdds(upperEstimate, OddsWithoutComparison);
+  return upperEstimate;
 }
 
-/// How much of the new version's calls counts, given how few calls of the old
-/// one they are compared with: two samples tell as much as their harmonic sum.
-/// Without it, a share near the full one would take the chance errors of a few
-/// old calls for a difference.
-static double comparablePart(const EvidenceCount &longRun,
-                             const ComparedCounts &interval,
-                             BadCallKind reason) {
+/// Fraction of the new version's calls that counts, given the few calls of the
+/// old version that they are compared with: two samples carry as much
+/// information as their harmonic sum. Without it, chance errors of a few old
+/// calls would look like a difference when the share is nearly full.
+static double comparableFraction(const EvidenceCount &longRun,
+                                 const ComparedCounts &interval,
+                                 BadCallKind reason) {
   const double old =
       static_cast<double>(interval.Old.Calls) + longRunWeight(longRun, reason);
   return old / (old + static_cast<double>(interval.New.Calls));
@@ -116,34 +118,34 @@
     : New(std::move(newVersion)), Old(std::move(oldVersion)),
       Settings(settings) {
   for (RouteId &it : routes) {
-    Track track;
-    track.Id = std::move(it);
-    Tracks.push_back(std::move(track));
+    RouteState routeState;
+    routeState.Id = std::move(it);
+    RouteStates.push_back(std::move(routeState));
   }
 }
 
 void CanaryJudge::read(const EvidencePool &pool) {
-  for (Track &it : Tracks) {
+  for (RouteState &it : RouteStates) {
     it.Now.New = pool.total({New, it.Id});
     it.Now.Old = pool.total({Old, it.Id});
   }
-  if (Begun)
+  if (HasObserved)
     return;
-  // What is known of the new version counts from its first call, also for a
-  // daemon that started in the middle of the move; the old one's from here.
-  Begun = true;
-  for (Track &it : Tracks) {
+  // The new version counts from its first call, also for a daemon that started
+  // during the rollout. The old version counts from here.
+  HasObserved = true;
+  for (RouteState &it : RouteStates) {
     it.Begin.Old = it.Now.Old;
     it.Stage.Old = it.Now.Old;
     it.Interval.Old = it.Now.Old;
   }
 }
 
-LogRatios CanaryJudge::openRatios(const Track &track,
+LogRatios CanaryJudge::openRatios(const RouteState &routeState,
                                   BadCallKind reason) const {
-  const ComparedCounts open = since(track.Now, track.Interval);
-  const EvidenceCount &longRun = track.Interval.Old;
-  return comparablePart(longRun, open, reason) *
+  const ComparedCounts open = since(routeState.Now, routeState.Interval);
+  const EvidenceCount &longRun = routeState.Interval.Old;
+  return comparableFraction(longRun, open, reason) *
          logRatiosOf(open.New.Calls, badCalls(open.New, reason),
                      oldRate(longRun, open, reason));
 }
@@ -153,19 +155,20 @@
                                         : Settings.LateMargin;
 }
 
-double CanaryJudge::openEvidence(const Track &track, BadCallKind reason,
-                                 double margin) const {
-  const ComparedCounts open = since(track.Now, track.Interval);
-  const double rate = oldRate(track.Interval.Old, open, reason);
-  const double worse = std::min(rate + margin, LargestRate);
+double CanaryJudge::openEvidence(const RouteState &routeState,
+                                 BadCallKind reason, double margin) const {
+  const ComparedCounts open = since(routeState.Now, routeState.Interval);
+  const double rate = oldRate(routeState.Interval.Old, open, reason);
+  const double worse = std::min(rate + margin, MaxRate);
   return -logRatioOf(open.New.Calls, badCalls(open.New, reason), rate, worse);
 }
 
 bool CanaryJudge::isIntervalFull() const {
   ComparedCounts sum;
-  for (const Track &it : Tracks) {
+  for (const RouteState &it : RouteStates) {
     const ComparedCounts open = since(it.Now, it.Interval);
-    // Routes that wait for the others have nothing to compare with.
+    // Skips routes whose rollout has not begun; they have no calls of the new
+    // version to compare.
     if (open.New.Calls == 0)
       continue;
     add(sum.New, open.New);
@@ -179,7 +182,7 @@
 void CanaryJudge::closeInterval() {
   LogRatios failures{};
   LogRatios lateness{};
-  for (Track &it : Tracks) {
+  for (RouteState &it : RouteStates) {
     const LogRatios failed = openRatios(it, BadCallKind::Failure);
     const LogRatios late = openRatios(it, BadCallKind::Lateness);
     it.Failures.closeInterval(failed);
@@ -187,48 +190,49 @@
     failures = failures + failed;
     lateness = lateness + late;
     for (std::size_t n = 0; n < Reasons.size(); ++n) {
-      it.Safety[n] += openEvidence(it, Reasons[n], marginOf(Reasons[n]));
-      it.StageSafety[n] += openEvidence(it, Reasons[n], Settings.SevereMargin);
+      it.TotalEvidence[n] += openEvidence(it, Reasons[n], marginOf(Reasons[n]));
+      it.CurrentStageEvidence[n] +=
+          openEvidence(it, Reasons[n], Settings.SevereMargin);
     }
   }
   AllFailures.closeInterval(failures);
   AllLateness.closeInterval(lateness);
-  for (Track &it : Tracks)
+  for (RouteState &it : RouteStates)
     it.Interval = it.Now;
 }
 
-void CanaryJudge::weigh() {
+void CanaryJudge::updateFinding() {
   LogRatios failures{};
   LogRatios lateness{};
   double sum = 0;
   double largest = 0;
-  // Keeps the heaviest test as the finding.
-  const auto take = [&](double value, BadCallKind reason, const RouteId &route,
-                        const ComparedCounts &seen) {
+  // Keeps the test with the largest value as the finding.
+  const auto addTest = [&](double value, BadCallKind reason,
+                           const RouteId &route, const ComparedCounts &seen) {
     sum += value;
     if (value <= largest)
       return;
     largest = value;
     Finding = {reason, route, 0, seen};
   };
-  const double weightOfRoute =
-      WeightOfReason * (1 - WeightOfAll) / static_cast<double>(Tracks.size());
-  for (const Track &it : Tracks) {
+  const double weightOfRoute = ReasonWeight * (1 - AllRoutesWeight) /
+                               static_cast<double>(RouteStates.size());
+  for (const RouteState &it : RouteStates) {
     const LogRatios failed = openRatios(it, BadCallKind::Failure);
     const LogRatios late = openRatios(it, BadCallKind::Lateness);
     const ComparedCounts seen = since(it.Now, it.Begin);
-    take(weightOfRoute * it.Failures.value(failed), BadCallKind::Failure, it.Id,
-         seen);
-    take(weightOfRoute * it.Lateness.value(late), BadCallKind::Lateness, it.Id,
-         seen);
+    addTest(weightOfRoute * it.Failures.value(failed), BadCallKind::Failure,
+            it.Id, seen);
+    addTest(weightOfRoute * it.Lateness.value(late), BadCallKind::Lateness,
+            it.Id, seen);
     failures = failures + failed;
     lateness = lateness + late;
   }
-  const double weight = WeightOfReason * WeightOfAll;
-  take(weight * AllFailures.value(failures), BadCallKind::Failure, RouteId(),
-       allCalls());
-  take(weight * AllLateness.value(lateness), BadCallKind::Lateness, RouteId(),
-       allCalls());
+  const double weight = ReasonWeight * AllRoutesWeight;
+  addTest(weight * AllFailures.value(failures), BadCallKind::Failure, RouteId(),
+          allCalls());
+  addTest(weight * AllLateness.value(lateness), BadCallKind::Lateness,
+          RouteId(), allCalls());
   Finding.Statistic = sum;
   IsBad = sum >= Settings.BadThreshold;
 }
@@ -237,7 +241,7 @@
   if (IsBad)
     return true;
   read(pool);
-  weigh();
+  updateFinding();
   if (!IsBad && isIntervalFull())
     closeInterval();
   return IsBad;
@@ -245,47 +249,48 @@
 
 void CanaryJudge::beginStage() {
   closeInterval();
-  for (Track &it : Tracks) {
+  for (RouteState &it : RouteStates) {
     it.Stage = it.Now;
-    it.StageSafety = {};
+    it.CurrentStageEvidence = {};
   }
 }
 
-const CanaryJudge::Track *CanaryJudge::find(const RouteId &route) const {
-  for (const Track &it : Tracks)
+const CanaryJudge::RouteState *CanaryJudge::find(const RouteId &route) const {
+  for (const RouteState &it : RouteStates)
     if (it.Id == route)
       return &it;
   return nullptr;
 }
 
 double CanaryJudge::evidence(const RouteId &route) const {
-  const Track *track = find(route);
-  if (track == nullptr)
+  const RouteState *routeState = find(route);
+  if (routeState == nullptr)
     return 0;
-  std::array<double, 2> out = track->Safety;
+  std::array<double, 2> out = routeState->TotalEvidence;
   for (std::size_t n = 0; n < Reasons.size(); ++n)
-    out[n] += openEvidence(*track, Reasons[n], marginOf(Reasons[n]));
+    out[n] += openEvidence(*routeState, Reasons[n], marginOf(Reasons[n]));
   return std::min(out[0], out[1]);
 }
 
 double CanaryJudge::stageEvidence(const RouteId &route) const {
-  const Track *track = find(route);
-  if (track == nullptr)
+  const RouteState *routeState = find(route);
+  if (routeState == nullptr)
     return 0;
-  std::array<double, 2> out = track->StageSafety;
+  std::array<double, 2> out = routeState->CurrentStageEvidence;
   for (std::size_t n = 0; n < Reasons.size(); ++n)
-    out[n] += openEvidence(*track, Reasons[n], Settings.SevereMargin);
+    out[n] += openEvidence(*routeState, Reasons[n], Settings.SevereMargin);
   return std::min(out[0], out[1]);
 }
 
 ComparedCounts CanaryJudge::stageCalls(const RouteId &route) const {
-  const Track *track = find(route);
-  return track == nullptr ? ComparedCounts{} : since(track->Now, track->Stage);
+  const RouteState *routeState = find(route);
+  return routeState == nullptr ? ComparedCounts{}
+                               : since(routeState->Now, routeState->Stage);
 }
 
 ComparedCounts CanaryJudge::allCalls() const {
   ComparedCounts sum;
-  for (const Track &it : Tracks) {
+  for (const RouteState &it : RouteStates) {
     const ComparedCounts seen = since(it.Now, it.Begin);
     add(sum.New, seen.New);
     add(sum.Old, seen.Old);
--- a/Libraries/LibDecision/CanaryJudge.h
+++ b/Libraries/LibDecision/CanaryJudge.h
@@ -7,109 +7,113 @@
 
 namespace sorrelbay {
 
-/// What a version is judged by.
+/// The kinds of bad call that a version is judged by.
 enum class BadCallKind { Failure, Lateness };
 
-/// How sure the judge must be.
+/// Thresholds of the judge.
 struct JudgeSettings {
-  /// The mixture's value at which a version is bad. A version that is no worse
-  /// than the old one must get there in less than 1 of 100 moves.
+  /// Value of the mixture at which a version is bad. A version that is no worse
+  /// than the old one reaches it in less than 1 of 100 rollouts.
   double BadThreshold = 100;
-  /// A version that fails this much more often than the old one must not move
-  /// on: evidence for a step is evidence against this rate.
+  /// A version whose failure rate exceeds that of the old one by this much must
+  /// not proceed: evidence for a step is evidence against this rate.
   double FailureMargin = 0.04;
-  /// The same for calls later than the latency target.
+  /// The same for the rate of calls later than the latency target.
   double LateMargin = 0.10;
-  /// The same for a grossly bad version, by failures or by lateness.
+  /// The same for a severely bad version, by failures or by lateness.
   double SevereMargin = 0.3;
-  /// Calls to the new version after which an interval ends.
+  /// Number of calls to the new version after which an interval ends.
   std::uint64_t IntervalCalls = 40;
 };
 
-/// Counts of both versions, to be compared.
+/// Counts of both versions over the same time span.
 struct ComparedCounts {
   EvidenceCount New;
   EvidenceCount Old;
 };
 
-/// What the judge found when it called a version bad.
+/// The reason for which a version was found bad.
 struct RegressionFinding {
   BadCallKind Reason = BadCallKind::Failure;
-  /// The route whose calls weighed most; empty if all routes together did.
+  /// The route with the strongest evidence; empty if it is the evidence of all
+  /// routes together.
   RouteId OnRoute;
   /// The mixture's value.
   double Statistic = 0;
-  /// The counts of that route, or of all, since the judge began.
+  /// The counts of that route, or of all routes, since the judge started.
   ComparedCounts Seen;
 };
 
-/// Judges one version against the old one, on each route and on all together,
-/// by failures and by lateness, on the evidence pooled from all entry hosts.
-/// Both versions are compared within the same short intervals, so that a bad
-/// hour which hits both is held against neither.
+/// Compares a new version with the old one, on each route and on all routes
+/// together, by failures and by lateness, using the evidence pooled from all
+/// entry hosts. Both versions are compared within the same short intervals, so
+/// that a disturbance that affects both counts against neither.
 class CanaryJudge {
 public:
   CanaryJudge(VersionId newVersion, VersionId oldVersion,
               std::vector<RouteId> routes, JudgeSettings settings = {});
 
-  /// Looks at the pool. True if the version is bad; it then stays bad.
+  /// Evaluates the pool. Returns true if the version is bad, and from then on
+  /// always.
   bool observe(const EvidencePool &pool);
 
-  /// What made the version bad; only after observe() returned true.
+  /// The reason for which the version is bad; valid only after observe()
+  /// returned true.
   const RegressionFinding &finding() const { return Finding; }
 
-  /// Begins to collect the evidence for the next step anew.
+  /// Resets the evidence for the next step of the rollout.
   void beginStage();
 
-  /// How strongly the calls to the route speak against a version that is worse
-  /// by the margins: the smaller log likelihood ratio of the two reasons. Below
-  /// zero means that they speak for such a version. Counts from the beginning.
+  /// Strength of the evidence, since the judge started, that the version is not
+  /// worse by the margins on the route: the smaller log likelihood ratio of the
+  /// two kinds of bad call. Negative values are evidence for such a version.
   double evidence(const RouteId &route) const;
 
-  /// The same against a grossly bad version, since the stage began; a few calls
-  /// are enough to have it.
+  /// The same against a severely bad version since the stage began; a few calls
+  /// are enough.
   double stageEvidence(const RouteId &route) const;
 
   /// Calls of both versions on the route since the stage began.
   ComparedCounts stageCalls(const RouteId &route) const;
 
-  /// Calls of both versions since the judge began, on all routes.
+  /// Calls of both versions on all routes since the judge started.
   ComparedCounts allCalls() const;
 
 private:
-  struct Track {
+  struct RouteState {
     RouteId Id;
-    /// At the beginning of the judge, of the stage, of the open interval, now.
+    /// Counts at the start of the judge, of the stage and of the open interval,
+    /// and the latest ones.
     ComparedCounts Begin;
     ComparedCounts Stage;
     ComparedCounts Interval;
     ComparedCounts Now;
     SequentialTest Failures;
     SequentialTest Lateness;
-    /// Evidence for a step, of the closed intervals, by reason.
-    std::array<double, 2> Safety{};
-    std::array<double, 2> StageSafety{};
+    /// Evidence for a step from the closed intervals, by kind of bad call.
+    std::array<double, 2> TotalEvidence{};
+    std::array<double, 2> CurrentStageEvidence{};
   };
 
   VersionId New;
   VersionId Old;
   JudgeSettings Settings;
-  std::vector<Track> Tracks;
+  std::vector<RouteState> RouteStates;
   SequentialTest AllFailures;
   SequentialTest AllLateness;
-  bool Begun = false;
+  bool HasObserved = false;
   bool IsBad = false;
   RegressionFinding Finding;
 
   void read(const EvidencePool &pool);
   void closeInterval();
   bool isIntervalFull() const;
-  void weigh();
-  LogRatios openRatios(const Track &track, BadCallKind reason) const;
-  double openEvidence(const Track &track, BadCallKind reason,
+  void updateFinding();
+  LogRatios openRatios(const RouteState &routeState, BadCallKind reason) const;
+  double openEvidence(const RouteState &routeState, BadCallKind reason,
                       double margin) const;
   double marginOf(BadCallKind reason) const;
-  const Track *find(const RouteId &route) const;
+  const RouteState *find(const RouteId &route) const;
 };
 
 } // namespace sorrelbay
--- a/Libraries/LibDecision/DeskCallAnswer.h
+++ b/Libraries/LibDecision/DeskCallAnswer.h
@@ -5,51 +5,52 @@
 
 namespace sorrelbay {
 
-/// The answer to a caller about its call.
+/// What is known about a call.
 enum class CallOutcome {
   /// The desk has answered.
   Done,
-  /// Neither this attempt nor an earlier one of the key has run it, and none
-  /// of them ever will. A later attempt may.
+  /// Neither this attempt nor an earlier one of the key has run the call or
+  /// ever will. A later attempt may.
   NotRun,
-  /// It may have run, may be running or may yet run.
+  /// The call may have run, may be running or may still run.
   Unknown,
 };
 
-/// Why there is no answer of a desk.
+/// Why there is no answer from a desk.
 enum class RefusalReason {
   None,
-  /// The daemon has more to do than it can.
+  /// The daemon is overloaded.
   Overloaded,
-  /// The object API can't be reached.
+  /// The object API is unreachable.
   LedgerUnavailable,
-  /// The call's bucket has no room.
+  /// The call's ledger bucket is full.
   LedgerFull,
   /// The call was closed by an earlier refusal.
   Closed,
-  /// Another attempt holds the call.
+  /// Another attempt holds the intent.
   InFlight,
-  /// The desk was sent the call and did not answer.
+  /// The call was sent to a desk, which did not answer.
   DeskLost,
-  /// Every desk that was asked refused the connection or the call.
+  /// Every desk that was tried refused the connection or the call.
   NoDeskAvailable,
-  /// The ticket is another incarnation's that can't be reached.
+  /// Another incarnation issued the ticket and is unreachable.
   OwnerUnreachable,
-  /// The ticket is too old.
+  /// The ticket has expired.
   TicketExpired,
   /// The call's deadline has passed.
   DeadlinePassed,
 };
 
-/// The one answer to one attempt or query.
+/// The only answer to one attempt or query.
 struct DeskCallAnswer {
   CallOutcome Outcome = CallOutcome::Unknown;
   RefusalReason Reason = RefusalReason::None;
-  /// The desk's, for Done; without a body if the ledger had no room for it.
+  /// The desk's answer if the outcome is Done. The body is missing if the
+  /// ledger had no room for it.
   int Status = 0;
   std::string Body;
   bool HasBody = false;
-  /// When to come back, unless the call is done.
+  /// Delay after which to retry, unless the outcome is Done.
   Duration RetryAfter{};
 };
 
--- a/Libraries/LibDecision/DeskCallProtocol.cpp
+++ b/Libraries/LibDecision/DeskCallProtocol.cpp
@@ -60,8 +60,8 @@
     return sendToDesk();
   }
   DeskCallActions actions = answerFromLedger(outcome, RefusalReason::Closed);
-  // The intent may be in the ledger or still on its way there, and would keep
-  // every later attempt out although nothing was sent.
+  // The intent may have been written or may still take effect, and would block
+  // every later attempt although nothing was sent.
   if (outcome.MayHaveBeenWritten)
     append(actions, close(RefusalReason::LedgerUnavailable));
   return actions;
@@ -113,11 +113,11 @@
 }
 
 DeskCallActions
-DeskCallProtocol::onForwardAnswered(const DeskCallAnswer &given) {
+DeskCallProtocol::onForwardAnswered(const DeskCallAnswer &forwarded) {
   if (Now != Step::AwaitForward)
     return {};
   Now = Step::Finished;
-  return answer(given);
+  return answer(forwarded);
 }
 
 DeskCallActions DeskCallProtocol::onForwardRefused() {
@@ -148,7 +148,7 @@
 DeskCallActions DeskCallProtocol::sendToDesk() {
   verifyInvariant(HoldsIntent && !MayHaveRun && !IsAnswered,
                   "desk-call.intent-before-send",
-                  "a call was about to be sent without its intent, twice, or "
+                  "a call would have been sent without its intent, twice, or "
                   "after its answer");
   Now = Step::AwaitDesk;
   MayHaveRun = true;
@@ -158,7 +158,7 @@
 
 DeskCallActions DeskCallProtocol::close(RefusalReason reason) {
   verifyInvariant(!MayHaveRun, "desk-call.no-close-after-send",
-                  "a call that a desk may have was about to be closed");
+                  "a call that may have reached a desk would have been closed");
   Now = Step::AwaitClose;
   CloseReason = reason;
   return {edit(EditKind::Close)};
@@ -198,7 +198,7 @@
   }
 }
 
-// Answers from what this attempt alone knows.
+// Answers with what this attempt alone knows.
 DeskCallActions DeskCallProtocol::refuse(RefusalReason reason) {
   Now = Step::Finished;
   DeskCallAnswer refusal;
@@ -212,7 +212,7 @@
 DeskCallActions DeskCallProtocol::answer(DeskCallAnswer answer) {
   verifyInvariant(answer.Outcome != CallOutcome::NotRun || !MayHaveRun,
                   "desk-call.not-run-is-true",
-                  "a call that a desk may have was about to be called not run");
+                  "a call that may have reached a desk was answered not run");
   if (std::exchange(IsAnswered, true))
     return {};
   return {AnswerCaller{std::move(answer)}};
@@ -239,7 +239,7 @@
 }
 
 bool DeskCallProtocol::isKnownNotRun() const {
-  // A query speaks of attempts that are elsewhere.
+  // A query is about attempts that other daemons may be running.
   const bool isOnlyAttempt =
       Call.Attempt == FirstAttempt && Call.Purpose == CallPurpose::Run;
   return !MayHaveRun && (HoldsIntent || isOnlyAttempt);
--- a/Libraries/LibDecision/DeskCallProtocol.h
+++ b/Libraries/LibDecision/DeskCallProtocol.h
@@ -9,13 +9,14 @@
 namespace sorrelbay {
 
 enum class CallPurpose {
-  /// To run the call.
+  /// Run the call.
   Run,
-  /// To learn what became of it, and to close it if it has not run.
+  /// Report the outcome, and close the call if it has not run.
   Query,
 };
 
-/// One attempt at a call that may run once at most, or a query after one.
+/// One attempt at a call that may run at most once, or a query about such a
+/// call.
 struct DeskCall {
   CallPurpose Purpose = CallPurpose::Run;
   CallId Id;
@@ -25,18 +26,22 @@
   std::uint64_t Nonce = 0;
 };
 
-/// What varies between deployments.
+/// Settings that differ between deployments.
 struct DeskCallSettings {
-  /// How many replicas are tried while none has taken the call.
+  /// Number of replicas tried before the call is refused, if none of them
+  /// accepts it.
   int MaxDeskTries = 3;
-  /// The longest time from asking for the intent to sending the call. It is
-  /// far below the ledger's retention, so that a process that was paused
-  /// between the two can't send on an intent that has been forgotten.
+  /// Longest time between requesting the intent and sending the call; after it
+  /// the call is closed unsent. Must be far below the retention of the ledger,
+  /// so that a process that was paused in between cannot send on an intent that
+  /// the ledger has already dropped.
   Duration MaxSendDelay = minutes(1);
-  /// How often the result is offered to the ledger, and how far apart.
+  /// Largest number of attempts to record the result in the ledger. The delay
+  /// grows by ResultRetryDelay with each attempt.
   int MaxResultTries = 5;
   Duration ResultRetryDelay = milliseconds(500);
-  /// When to come back after a refusal, and while another attempt runs.
+  /// Retry-After delays: after a refusal, and while another attempt holds the
+  /// call.
   Duration RetryAfterRefusal = seconds(1);
   Duration RetryAfterInFlight = seconds(2);
 };
@@ -47,21 +52,21 @@
   enum class Place { Ledger, TicketTable };
   Place Where = Place::Ledger;
   LedgerEdit Edit;
-  /// How long to wait before.
+  /// Delay before the edit is submitted.
   Duration After{};
 };
 
-/// Send the call to a replica that it was not sent to before, over a
-/// connection opened for it: a pooled one may be silent, and then nothing
-/// tells whether the call arrived.
+/// Send the call to a replica that has not been tried yet, over a new
+/// connection. On a pooled connection that turns out to be dead it is unknown
+/// whether the call arrived.
 struct SendToDesk {};
 
-/// Hand the call to the daemon that owns its ticket.
+/// Forward the call to the daemon that owns its ticket.
 struct ForwardToOwner {
   IncarnationId Owner;
 };
 
-/// Tell the caller; given once for each attempt.
+/// Send the answer to the caller; issued once per attempt.
 struct AnswerCaller {
   DeskCallAnswer Answer;
 };
@@ -70,40 +75,41 @@
     std::variant<SubmitEdit, SendToDesk, ForwardToOwner, AnswerCaller>;
 using DeskCallActions = std::vector<DeskCallAction>;
 
-/// Runs one attempt at a non-repeatable call: the intent is in the ledger
-/// before the first byte goes to a desk, and what the caller hears speaks of
-/// the key and not of the attempt.
+/// State machine of one attempt at a non-repeatable call. The intent is in the
+/// ledger before the first byte is sent to a desk, and the answer to the caller
+/// is about the key rather than the attempt.
 ///
-/// "Not run" covers this attempt and all earlier ones. It is said
-/// - when the ledger or the ticket table carries a closed mark for them;
-/// - when this attempt holds the intent and has sent nothing: the intent has
-///   kept all others out, and this attempt gives up here;
-/// - when this is the declared first attempt and it has sent nothing: there is
-///   no other that could have.
+/// "Not run" covers this attempt and all earlier ones. It is answered
+/// - when the ledger or the ticket table has a closed mark that covers them;
+/// - when this attempt holds the intent and has sent nothing: the intent kept
+///   all other attempts out, and this attempt ends here;
+/// - when this is the declared first attempt and it has sent nothing: no other
+///   attempt can have sent anything.
 /// In every other case the answer is "unknown".
 class DeskCallProtocol {
 public:
   DeskCallProtocol(DeskCall call, DeskCallSettings settings);
 
-  /// Begins the attempt or the query.
+  /// Starts the attempt or the query.
   DeskCallActions start(Instant at);
-  /// Refuses the attempt for overload instead of beginning it.
+  /// Refuses the attempt because of overload instead of starting it.
   DeskCallActions shed();
 
   DeskCallActions onEdit(const EditOutcome &outcome, Instant at);
   DeskCallActions onDeskAnswered(int status, const std::string &body);
-  /// No byte of the call reached the desk, or the desk says that it did not
-  /// run it.
+  /// No byte of the call reached the desk, or the desk reported that it did not
+  /// run the call.
   DeskCallActions onDeskRefused();
-  /// Bytes may have reached the desk and no answer will come.
+  /// Bytes may have reached the desk and no answer will arrive.
   DeskCallActions onDeskLost();
   DeskCallActions onForwardAnswered(const DeskCallAnswer &answer);
-  /// The owner has not been reached, or the process there isn't the owner.
+  /// The owner was unreachable, or the process at its address isn't the owner.
   DeskCallActions onForwardRefused();
   DeskCallActions onForwardLost();
-  /// The caller's deadline has passed; answered at once if it wasn't yet.
+  /// The caller's deadline has passed. Answers at once unless the call is
+  /// already answered.
   DeskCallActions onDeadline();
-  /// The ticket is this incarnation's, but too old to be run.
+  /// The ticket belongs to this incarnation but has expired.
   DeskCallActions refuseExpiredTicket();
 
   const DeskCall &call() const { return Call; }
@@ -141,7 +147,7 @@
   RefusalReason CloseReason = RefusalReason::None;
   Instant StartedAt{};
   bool HoldsIntent = false;
-  /// Whether the desk is known to have been asked and not to have refused.
+  /// Whether the call was sent to a desk that has not refused it.
   bool MayHaveRun = false;
   bool IsAnswered = false;
   int DesksTried = 0;
--- a/Libraries/LibDecision/DrainRate.cpp
+++ b/Libraries/LibDecision/DrainRate.cpp
@@ -4,36 +4,36 @@
 
 namespace sorrelbay {
 
-// Half of a measurement's weight is left after so many busy seconds.
+// Busy seconds after which the weight of a measurement has halved.
 static constexpr double HalfLifeSeconds = 5;
-// The gains of the usual round-trip estimator of TCP (RFC 6298).
+// The gains of the TCP round-trip time estimator (RFC 6298).
 static constexpr double MeanGain = 0.125;
 static constexpr double DeviationGain = 0.25;
 
 DrainRate::DrainRate(double initialRate, Duration initialResponseTime)
-    : Work(initialRate * InitialBusySeconds),
+    : CompletedCost(initialRate * InitialBusySeconds),
       MeanResponseTime(toSeconds(initialResponseTime)),
       ResponseTimeDeviation(toSeconds(initialResponseTime) / 2) {}
 
 void DrainRate::noteBusyTime(Duration span) {
-  const double kept = std::exp2(-toSeconds(span) / HalfLifeSeconds);
-  Work *= kept;
-  BusySeconds = BusySeconds * kept + toSeconds(span);
+  const double decay = std::exp2(-toSeconds(span) / HalfLifeSeconds);
+  CompletedCost *= decay;
+  BusySeconds = BusySeconds * decay + toSeconds(span);
 }
 
-void DrainRate::noteResponseTime(Duration hold) {
-  const double error = toSeconds(hold) - MeanResponseTime;
+void DrainRate::noteResponseTime(Duration responseTime) {
+  const double error = toSeconds(responseTime) - MeanResponseTime;
   MeanResponseTime += MeanGain * error;
   ResponseTimeDeviation +=
       DeviationGain * (std::abs(error) - ResponseTimeDeviation);
 }
 
 double DrainRate::rate() const {
-  constexpr double LeastRate = 0.01;
-  return std::max(LeastRate, Work / BusySeconds);
+  constexpr double MinRate = 0.01;
+  return std::max(MinRate, CompletedCost / BusySeconds);
 }
 
-Duration DrainRate::hold(double deviations) const {
+Duration DrainRate::responseTime(double deviations) const {
   return fromSeconds(MeanResponseTime + deviations * ResponseTimeDeviation);
 }
 
--- a/Libraries/LibDecision/DrainRate.h
+++ b/Libraries/LibDecision/DrainRate.h
@@ -4,29 +4,30 @@
 
 namespace sorrelbay {
 
-/// Measures how fast a service works its calls off while it is busy, and how
-/// long a started call takes. Old measurements fade.
+/// Estimates the cost that a service completes per second while it is busy, and
+/// the response time of a started call. Measurements decay exponentially.
 class DrainRate {
 public:
   DrainRate(double initialRate, Duration initialResponseTime);
 
-  /// The service was busy, with every place taken, for that long.
+  /// Records a time span during which every call slot of the service was in
+  /// use.
   void noteBusyTime(Duration span);
-  /// A call of that cost was over while the service was busy.
-  void noteCompletedCost(double cost) { Work += cost; }
-  /// A call took that long from its start to its first token, or its answer.
-  void noteResponseTime(Duration hold);
+  /// Records a call of the given cost that finished while the service was busy.
+  void noteCompletedCost(double cost) { CompletedCost += cost; }
+  /// Records the time from a call's start to its first token or its answer.
+  void noteResponseTime(Duration responseTime);
 
-  /// Cost a second.
+  /// Cost per second.
   double rate() const;
-  /// The time a started call takes, with that many mean deviations on top.
-  Duration hold(double deviations) const;
+  /// The mean response time plus the given number of mean deviations.
+  Duration responseTime(double deviations) const;
 
 private:
-  /// What the first guess weighs beside measurements.
+  /// Weight of the initial rate, in busy seconds.
   static constexpr double InitialBusySeconds = 1;
 
-  double Work;
+  double CompletedCost;
   double BusySeconds = InitialBusySeconds;
   double MeanResponseTime;
   double ResponseTimeDeviation;
--- a/Libraries/LibDecision/Evidence.h
+++ b/Libraries/LibDecision/Evidence.h
@@ -6,7 +6,7 @@
 
 namespace sorrelbay {
 
-/// What evidence is about: one version on one route.
+/// The subject of a counter: one version on one route.
 struct EvidenceKey {
   VersionId Version;
   RouteId OnRoute;
@@ -19,14 +19,14 @@
   }
 };
 
-/// Counters that only grow, of one daemon's incarnation since its start. Two
-/// of the same incarnation merge by maximum, those of different incarnations
-/// are added up.
+/// Monotonic counters of one incarnation of a daemon since its start. Two
+/// counts of the same incarnation merge by maximum; counts of different
+/// incarnations are added.
 struct EvidenceCount {
   std::uint64_t Calls = 0;
-  /// Calls that failed by the upstream's fault.
+  /// Calls that failed because of the upstream.
   std::uint64_t Failures = 0;
-  /// Calls that were answered but later than the route's latency target.
+  /// Calls that were answered after the route's latency target.
   std::uint64_t Late = 0;
 
   friend bool operator==(const EvidenceCount &a, const EvidenceCount &b) {
--- a/Libraries/LibDecision/EvidencePool.cpp
+++ b/Libraries/LibDecision/EvidencePool.cpp
@@ -36,11 +36,11 @@
 }
 
 bool EvidencePool::merge(const EvidencePool &other) {
-  bool grew = false;
+  bool hasGrown = false;
   for (const auto &[source, counts] : other.Sources)
     for (const auto &[key, count] : counts)
-      grew |= mergeCount(source, key, count);
-  return grew;
+      hasGrown |= mergeCount(source, key, count);
+  return hasGrown;
 }
 
 EvidenceCount EvidencePool::total(const EvidenceKey &key) const {
--- a/Libraries/LibDecision/EvidencePool.h
+++ b/Libraries/LibDecision/EvidencePool.h
@@ -6,19 +6,19 @@
 
 namespace sorrelbay {
 
-/// How one call to an upstream ended, as far as its version is judged by it.
+/// The outcome of one call to an upstream, as it counts for its version.
 enum class UpstreamOutcome {
   /// Answered within the route's latency target.
   Good,
   /// Answered, but later than the route's latency target.
   Late,
-  /// Not answered, or wrongly, by the upstream's fault.
+  /// Not answered, or answered wrongly, because of the upstream.
   Failed,
 };
 
-/// Who counted: one life of the daemon on one host. A restarted daemon counts
-/// from zero under a new incarnation, so that its smaller counters never hide
-/// those of its earlier life.
+/// The source of a set of counters: one incarnation of the daemon on one host.
+/// A restarted daemon counts from zero under a new incarnation, so that its
+/// smaller counters never replace those of its predecessor.
 struct EvidenceSource {
   HostId Host;
   IncarnationId Incarnation;
@@ -34,19 +34,19 @@
 /// The counters of one source.
 using EvidenceCounts = std::map<EvidenceKey, EvidenceCount>;
 
-/// The evidence of all entry hosts, as far as this one has heard of it. A join:
-/// counters of one source merge by maximum, so that messages which are lost,
-/// late, repeated or out of order do no harm.
+/// The evidence of all entry hosts, as far as it has reached this host. The
+/// pool is a state-based CRDT: counters of one source merge by maximum, so that
+/// lost, late, repeated and reordered messages do no harm.
 class EvidencePool {
 public:
   /// Counts one call of this daemon.
   void record(const EvidenceSource &self, const EvidenceKey &key,
               UpstreamOutcome outcome);
 
-  /// Takes in what another daemon knows; true if any counter grew.
+  /// Merges another daemon's pool. Returns true if any counter grew.
   bool merge(const EvidencePool &other);
 
-  /// Takes in one counter; true if it grew.
+  /// Merges one counter. Returns true if it grew.
   bool mergeCount(const EvidenceSource &source, const EvidenceKey &key,
                   const EvidenceCount &count);
 
@@ -54,7 +54,7 @@
   EvidenceCount total(const EvidenceKey &key) const;
 
   /// Drops the counters of all other versions, so that the pool does not grow
-  /// with every move ever made.
+  /// with every rollout.
   void keepOnly(const std::set<VersionId> &versions);
 
   /// Every source with its counters.
@@ -68,8 +68,8 @@
 
 private:
   std::map<EvidenceSource, EvidenceCounts> Sources;
-  // The sums over all sources, kept so that judging costs the same whatever
-  // the number of hosts is.
+  // Sums over all sources, so that the cost of a lookup does not depend on the
+  // number of hosts.
   EvidenceCounts Totals;
 };
 
--- a/Libraries/LibDecision/FairQueue.cpp
+++ b/Libraries/LibDecision/FairQueue.cpp
@@ -41,20 +41,20 @@
 QueuedCall FairQueue::takeFront(Level &level) {
   for (;;) {
     const bool isNew = !level.NewTeams.empty();
-    std::list<TeamId> &turns = isNew ? level.NewTeams : level.OldTeams;
-    const TeamId team = turns.front();
+    std::list<TeamId> &rotation = isNew ? level.NewTeams : level.OldTeams;
+    const TeamId team = rotation.front();
     TeamQueue &queue = level.Teams[team];
-    // Also for a team that has nothing left: forgotten with its debt, it would
-    // be back with a full quantum.
-    const bool isInDebt = queue.Deficit <= 0;
-    if (isInDebt)
+    // This includes a team whose queue is empty: if it were removed while
+    // overdrawn, it would return with a full quantum.
+    const bool isOverdrawn = queue.Deficit <= 0;
+    if (isOverdrawn)
       queue.Deficit += Quantum * weightOf(team);
-    if (isInDebt || (queue.Calls.empty() && isNew)) {
-      level.OldTeams.splice(level.OldTeams.end(), turns, turns.begin());
+    if (isOverdrawn || (queue.Calls.empty() && isNew)) {
+      level.OldTeams.splice(level.OldTeams.end(), rotation, rotation.begin());
       continue;
     }
     if (queue.Calls.empty()) {
-      turns.pop_front();
+      rotation.pop_front();
       level.Teams.erase(team);
       continue;
     }
@@ -64,14 +64,14 @@
 }
 
 std::optional<QueuedCall>
-FairQueue::pop(const std::function<bool(const QueuedCall &)> &isHopeless,
-               std::vector<QueuedCall> &hopeless) {
+FairQueue::pop(const std::function<bool(const QueuedCall &)> &shouldSkip,
+               std::vector<QueuedCall> &skipped) {
   while (!Levels.empty()) {
     const auto highest = Levels.begin();
     Level &level = highest->second;
     for (auto &it : level.Teams)
-      while (!it.second.Calls.empty() && isHopeless(it.second.Calls.front()))
-        hopeless.push_back(dropFront(level, it.second));
+      while (!it.second.Calls.empty() && shouldSkip(it.second.Calls.front()))
+        skipped.push_back(dropFront(level, it.second));
     std::optional<QueuedCall> call;
     if (level.Calls > 0)
       call = takeFront(level);
@@ -84,7 +84,7 @@
 }
 
 std::vector<QueuedCall>
-FairQueue::removeIf(const std::function<bool(const QueuedCall &)> &holds) {
+FairQueue::removeIf(const std::function<bool(const QueuedCall &)> &predicate) {
   std::vector<QueuedCall> removed;
   for (auto level = Levels.begin(); level != Levels.end();) {
     const std::size_t before = removed.size();
@@ -92,7 +92,7 @@
       TeamQueue &queue = team.second;
       const auto kept = std::stable_partition(
           queue.Calls.begin(), queue.Calls.end(),
-          [&](const QueuedCall &it) { return !holds(it); });
+          [&](const QueuedCall &it) { return !predicate(it); });
       for (auto it = kept; it != queue.Calls.end(); ++it) {
         queue.Cost -= it->Cost;
         removed.push_back(*it);
@@ -131,7 +131,7 @@
   const double weight = weightOf(call.OfTeam);
   const auto own = level.Teams.find(call.OfTeam);
   const double ownCost = own == level.Teams.end() ? 0 : own->second.Cost;
-  // What the team may take out before the others' next turns.
+  // Cost that the team may dequeue before the other teams' next turns.
   const double deficit =
       own == level.Teams.end() ? Quantum * weight : own->second.Deficit;
   const double rounds =
--- a/Libraries/LibDecision/FairQueue.h
+++ b/Libraries/LibDecision/FairQueue.h
@@ -12,47 +12,49 @@
 
 namespace sorrelbay {
 
-/// A call that waits to be started.
+/// A call that waits to start.
 struct QueuedCall {
   std::uint64_t Id = 0;
   TeamId OfTeam;
   /// Higher goes first.
   int Priority = 0;
-  /// What it takes from the upstreams, in units of the service (one for a desk
-  /// call, thousands of prompt tokens for an engine).
+  /// Cost at the upstreams in units of the service: 1 for a desk call,
+  /// thousands of prompt tokens for an engine.
   double Cost = 1;
-  /// When its first token, or a desk's answer, must be there.
+  /// Time by which the first token, or a desk's answer, must be available.
   Instant Deadline;
 };
 
-/// Calls that wait: strictly by priority, and within a priority by deficit
-/// round robin between teams, so that a team gets its share of the cost
-/// whatever the others send. A team that begins to wait goes first for one
-/// quantum (as new flows do in FQ-CoDel, RFC 8290), so that a team below its
-/// share hardly waits at all. Not thread-safe.
+/// A queue of waiting calls: strict priority, and within one priority deficit
+/// round robin between teams, so that each team gets its weighted share of the
+/// cost whatever the others send. A team that starts to wait is served first
+/// for one quantum, like a new flow in FQ-CoDel (RFC 8290), so that a team
+/// below its share hardly waits. Not thread-safe.
 class FairQueue {
 public:
-  /// Each round lets a team of weight 1 take out that cost.
+  /// The quantum is the cost that a team of weight 1 may dequeue per round.
   explicit FairQueue(double quantum) : Quantum(quantum) {}
 
   void setWeights(std::map<TeamId, int> weights);
   void push(const QueuedCall &call);
-  /// Takes out the call whose turn it is. Calls for which isHopeless holds are
-  /// taken out into the list before it; they don't count against their team,
+  /// Dequeues the next call. Calls at the front of a team for which shouldSkip
+  /// holds are moved to `skipped` first. They are not charged to their team,
   /// which would otherwise lose the share that it waited for.
   std::optional<QueuedCall>
-  pop(const std::function<bool(const QueuedCall &)> &isHopeless,
-      std::vector<QueuedCall> &hopeless);
-  /// Takes out a call by its id; nothing if it does not wait.
+  pop(const std::function<bool(const QueuedCall &)> &shouldSkip,
+      std::vector<QueuedCall> &skipped);
+  /// Removes a call by its id. Returns nothing if the call is not queued.
   std::optional<QueuedCall> remove(std::uint64_t id);
-  /// Takes out every call for which it holds, in no stated order.
+  /// Removes every call that matches the predicate and returns them in
+  /// unspecified order.
   std::vector<QueuedCall>
-  removeIf(const std::function<bool(const QueuedCall &)> &holds);
+  removeIf(const std::function<bool(const QueuedCall &)> &predicate);
 
-  /// The cost that would be taken out before a new call of that kind, if none
-  /// came after it.
+  /// The cost that would be dequeued before this call if it were added now and
+  /// no calls arrived after it.
   double costAhead(const QueuedCall &call) const;
-  /// The team's part of the turns among the teams that wait and itself, 0 to 1.
+  /// The team's fraction of the turns, 0 to 1, among itself and the teams that
+  /// have queued calls.
   double shareOf(const TeamId &team) const;
   std::size_t queuedOf(const TeamId &team) const;
   std::size_t size() const { return Size; }
@@ -61,16 +63,17 @@
   struct TeamQueue {
     std::deque<QueuedCall> Calls;
     double Cost = 0;
-    /// What it may still take out in this round; a call may overdraw it.
+    /// Remaining cost in this round. A call may overdraw it.
     double Deficit = 0;
   };
   struct Level {
     std::map<TeamId, TeamQueue> Teams;
-    /// Teams that have just begun to wait; they go before the others until
-    /// their first quantum is used up.
+    /// Teams that recently started to wait. They are served before the others
+    /// until their first quantum is used up.
     std::list<TeamId> NewTeams;
-    /// The rest, the one whose turn it is in front. A team that has nothing
-    /// left stays until its next turn, so that it can't be new again at once.
+    /// All other teams in round-robin order, the next one in front. A team
+    /// whose queue has become empty stays until its next turn, so that it
+    /// cannot become a new team again at once.
     std::list<TeamId> OldTeams;
     std::size_t Calls = 0;
   };
@@ -78,7 +81,7 @@
   double weightOf(const TeamId &team) const;
   double costAheadIn(const Level &level, const QueuedCall &call) const;
   QueuedCall takeFront(Level &level);
-  /// Takes out the team's first call without accounting for its turn.
+  /// Dequeues the team's first call without charging the team.
   QueuedCall dropFront(Level &level, TeamQueue &queue);
 
   double Quantum;
--- a/Libraries/LibDecision/Handover.cpp
+++ b/Libraries/LibDecision/Handover.cpp
@@ -17,7 +17,7 @@
 }
 
 std::vector<std::uint8_t> encodeHandover(const Handover &handover) {
-  // A token may be any bytes of the engine's, not always whole UTF-8.
+  // A token is an arbitrary byte sequence and may end within a UTF-8 character.
   Json tokens = Json::array();
   for (const std::string &it : handover.Tokens)
     tokens.push_back(Json::binary({it.begin(), it.end()}));
@@ -56,12 +56,12 @@
         fromEpochMilliseconds(map.at("deadline_ms").get<std::int64_t>());
     handover.TraceParent = map.at("traceparent").get<std::string>();
   } catch (const Json::exception &e) {
-    throw HandoverRefused(std::string("not a handover: ") + e.what());
+    throw HandoverRefused(std::string("invalid handover: ") + e.what());
   }
   if (handover.Request.empty())
-    throw HandoverRefused("the handover names no request");
+    throw HandoverRefused("invalid handover: the request id is empty");
   if (!handover.Tokens.empty() && handover.LastAttempt == 0)
-    throw HandoverRefused("the handover has tokens of no attempt");
+    throw HandoverRefused("invalid handover: it has tokens but no attempt");
   return handover;
 }
 
--- a/Libraries/LibDecision/Handover.h
+++ b/Libraries/LibDecision/Handover.h
@@ -9,30 +9,31 @@
 
 namespace sorrelbay {
 
-/// A peer's message is not a handover, or one that contradicts itself.
+/// A peer's message is not a valid handover, or this host cannot continue the
+/// answer.
 class HandoverRefused : public Error {
 public:
   using Error::Error;
 };
 
-/// All that another entry host needs to go on with an answer when the host that
-/// has it leaves.
+/// The state that another entry host needs to continue an answer when its
+/// present host leaves.
 struct Handover {
   RequestId Request;
   TeamId Team;
   RouteId OnRoute;
-  /// The version that the answer began with; another one would go on with
-  /// another text.
+  /// The version that the answer started with; another version would continue
+  /// with a different text.
   VersionId Version;
-  /// The caller's request body as it came.
+  /// The caller's request body, unchanged.
   std::string Body;
   std::vector<std::string> Tokens;
   AnswerAttempt LastAttempt = 0;
-  /// The engine that has the answer in its cache; empty if none.
+  /// The engine that holds the KV cache of the answer; empty if there is none.
   UpstreamId At;
-  /// When the caller gives up.
+  /// The caller's deadline.
   Instant Deadline{};
-  /// W3C trace context, empty if the caller sent none.
+  /// W3C trace context; empty if the caller sent none.
   std::string TraceParent;
 
   friend bool operator==(const Handover &a, const Handover &b);
@@ -41,29 +42,30 @@
   }
 };
 
-/// A CBOR map for the peer link.
+/// Encodes the handover as a CBOR map for the peer link.
 std::vector<std::uint8_t> encodeHandover(const Handover &handover);
 /// The inverse of encodeHandover. Throws HandoverRefused.
 Handover parseHandover(const std::vector<std::uint8_t> &message);
 
-/// An entry host that could take answers over.
+/// An entry host that may take answers over.
 struct HandoverPeer {
   HostId Host;
   ZoneId Zone;
-  /// Where callers reach it, as "address:port".
+  /// The address at which callers reach it, "address:port".
   std::string CallerAddress;
   bool IsLeaving = false;
 };
 
-/// The peers to ask for that answer, best first: those that leave are left out,
-/// other zones go before the own one, and within these the order differs from
-/// answer to answer so that one host's answers spread.
+/// Returns the candidates for taking over the answer, best first. Leaving peers
+/// are omitted and peers in other zones precede those in the own zone. Within
+/// these groups the order depends on the request, so that the answers of one
+/// host are spread over its peers.
 std::vector<HandoverPeer> orderPeers(const RequestId &request,
                                      const ZoneId &ownZone,
                                      std::vector<HandoverPeer> peers);
 
-/// What the caller is told when its answer goes on elsewhere: connect there
-/// with the same request id and Last-Event-ID. The text is a JSON object.
+/// The notice, a JSON object, for a caller whose answer continues on another
+/// host: connect there with the same request id and Last-Event-ID.
 std::string movedNotice(const RequestId &request,
                         const std::vector<HandoverPeer> &peers);
 
--- a/Libraries/LibDecision/LedgerBucket.cpp
+++ b/Libraries/LibDecision/LedgerBucket.cpp
@@ -4,13 +4,13 @@
 
 namespace sorrelbay {
 
-// The codec's version and its frame around the entries.
+// The format version and the framing of the entries.
 static constexpr std::size_t FrameBytes = 16;
-// An entry's fixed fields, with every length and number at its widest, and its
-// share of the bucket's own framing.
+// The fixed fields of an entry, with every length and number at its largest
+// encoding, and the entry's share of the bucket's framing.
 static constexpr std::size_t EntryOverheadBytes = 96;
-// Intents and closed marks leave this share of the bucket free, so that the
-// results of what already runs always find room.
+// Intents and closed marks leave this fraction of the bucket free, so that
+// results of calls in progress always fit.
 static constexpr std::size_t ResultReserveDivisor = 16;
 
 static auto tied(const LedgerEntry &it) {
@@ -32,9 +32,9 @@
   return limits.MaxBytes - limits.MaxBytes / ResultReserveDivisor;
 }
 
-// What an attempt's refusal must cover. An undeclared attempt can't be told
-// from any other, so its refusal covers all.
-static CallAttempt reach(CallAttempt attempt) {
+// The last attempt that a refusal must cover. An undeclared attempt cannot be
+// distinguished from any other, so its refusal covers all attempts.
+static CallAttempt lastCovered(CallAttempt attempt) {
   return attempt == UndeclaredAttempt ? AllAttempts : attempt;
 }
 
@@ -79,7 +79,8 @@
     return unchanged(isOwn(*found, edit) ? EditVerdict::Accepted
                                          : EditVerdict::HeldByOther,
                      *found);
-  // A late attempt must not run what an answer has already called not run.
+  // A late attempt must not run a call that an answer already reported as not
+  // run.
   if (found && edit.Attempt <= found->ClosedThrough)
     return closeThrough(edit, limits, at);
   LedgerEntry entry;
@@ -133,12 +134,12 @@
   return closeThrough(edit, limits, at);
 }
 
-// The entry is absent, closed or the owner's own unsent intent.
+// Expects the entry to be absent, closed, or the owner's own unsent intent.
 LedgerBucket::Applied LedgerBucket::closeThrough(const LedgerEdit &edit,
                                                  const LedgerLimits &limits,
                                                  Instant at) {
   const LedgerEntry *found = find(edit.Call);
-  const CallAttempt through = reach(edit.Attempt);
+  const CallAttempt through = lastCovered(edit.Attempt);
   if (found && found->State == EntryState::Closed &&
       found->ClosedThrough >= through)
     return unchanged(EditVerdict::NotRun, *found);
@@ -157,8 +158,10 @@
                                           EditVerdict verdict,
                                           std::size_t maxBytes) {
   const LedgerEntry *found = find(entry.Call);
-  const std::size_t without = encodedBound() - (found ? boundOf(*found) : 0);
-  if (without + boundOf(entry) > std::max(maxBytes, found ? encodedBound() : 0))
+  const std::size_t othersBound =
+      encodedBound() - (found ? boundOf(*found) : 0);
+  if (othersBound + boundOf(entry) >
+      std::max(maxBytes, found ? encodedBound() : 0))
     return {{EditVerdict::Full, {}, false}, false};
   Applied applied{{verdict, entry, false}, true};
   insert(std::move(entry));
--- a/Libraries/LibDecision/LedgerBucket.h
+++ b/Libraries/LibDecision/LedgerBucket.h
@@ -7,42 +7,44 @@
 
 namespace sorrelbay {
 
-/// How large a bucket may grow and how long it remembers.
+/// Limits on the size and the retention of a bucket.
 struct LedgerLimits {
   std::size_t MaxBytes = MaxObjectBytes;
-  /// The largest answer that is kept for a repeat.
+  /// Largest answer that is stored for repeated calls, in bytes. A larger one
+  /// is left out of the entry.
   std::size_t MaxAnswerBytes = 1024;
-  /// How long an entry is kept after its last change. A key must not be used
-  /// again after that time.
+  /// How long an entry is kept after its last change. A key must not be reused
+  /// after that time.
   Duration Retention = hours(24);
 };
 
-/// The number of buckets of one region's ledger. All daemons must agree on it.
+/// Number of buckets in one region's ledger. All daemons must use the same
+/// value.
 constexpr std::uint32_t LedgerBucketCount = 4096;
 
-/// The bucket that holds a call.
+/// Returns the bucket of a call.
 std::uint32_t bucketOf(const CallId &call,
                        std::uint32_t count = LedgerBucketCount);
 
-/// The entries of one object of the ledger. The rules of who may run a call
-/// are here and nowhere else; the conditional update of the object puts the
-/// edits of all hosts in one order.
+/// The entries of one object of the ledger. This class alone decides which
+/// attempt may run a call; the conditional update of the object puts the edits
+/// of all hosts in one order.
 class LedgerBucket {
 public:
   struct Applied {
     EditOutcome Outcome;
-    /// Whether the bucket is another than before and must be written for the
-    /// outcome to be true.
+    /// Whether the bucket changed and must be written before the outcome is
+    /// reported.
     bool HasChanged = false;
   };
 
-  /// Drops what is older than the retention, then applies the edit.
+  /// Drops entries older than the retention, then applies the edit.
   Applied apply(const LedgerEdit &edit, const LedgerLimits &limits, Instant at);
 
   const std::map<CallId, LedgerEntry> &entries() const { return Entries; }
-  /// Takes in an entry as it was stored.
+  /// Inserts an entry as it was stored.
   void insert(LedgerEntry entry);
-  /// A size that the encoded bucket does not exceed.
+  /// An upper bound on the size of the encoded bucket, in bytes.
   std::size_t encodedBound() const;
 
   friend bool operator==(const LedgerBucket &a, const LedgerBucket &b) {
@@ -63,11 +65,11 @@
   const LedgerEntry *find(const CallId &call) const;
 
   std::map<CallId, LedgerEntry> Entries;
-  /// The sum over all entries, in bytes.
+  /// Sum of the size bounds of all entries, in bytes.
   std::size_t Bound = 0;
 };
 
-/// Whether the entry is the one that this edit's owner has put.
+/// Whether the entry was put by the owner of this edit.
 bool isOwn(const LedgerEntry &entry, const LedgerEdit &edit);
 
 } // namespace sorrelbay
--- a/Libraries/LibDecision/LedgerCodec.cpp
+++ b/Libraries/LibDecision/LedgerCodec.cpp
@@ -5,7 +5,8 @@
 
 using Json = nlohmann::json;
 
-// The first element of a body; a daemon leaves a newer format alone.
+// The first element of a body. A bucket in any other format is not decoded, so
+// that an older daemon never overwrites a newer format.
 static constexpr int FormatVersion = 1;
 
 static std::int64_t toTicks(Instant at) {
@@ -23,7 +24,8 @@
 
 static EntryState toState(int n) {
   if (n < 0 || n > static_cast<int>(EntryState::Closed))
-    throw LedgerBucketUnreadable("unknown entry state");
+    throw LedgerBucketUnreadable(
+        "ledger bucket has an entry with an unknown state");
   return static_cast<EntryState>(n);
 }
 
@@ -57,7 +59,8 @@
   try {
     const Json document = Json::from_cbor(body);
     if (document.at(0).get<int>() != FormatVersion)
-      throw LedgerBucketUnreadable("unknown format of a ledger bucket");
+      throw LedgerBucketUnreadable(
+          "ledger bucket has an unknown format version");
     LedgerBucket bucket;
     for (const Json &fields : document.at(1))
       bucket.insert(toEntry(fields));
--- a/Libraries/LibDecision/LedgerEdit.h
+++ b/Libraries/LibDecision/LedgerEdit.h
@@ -6,23 +6,23 @@
 namespace sorrelbay {
 
 enum class EditKind {
-  /// Claims the call for the owner; it alone may then send it.
+  /// Claims the call for the owner, which alone may then send it.
   PutIntent,
   /// Records the desk's answer in the owner's entry.
   PutResult,
-  /// Makes "not run" a fact, unless the call may have run.
+  /// Prevents the call from running, unless it may have run already.
   Close,
 };
 
-/// One change of the ledger. Applying it twice is the same as applying it
-/// once, so that a lost reply is mended by reading and applying it again.
+/// One change of the ledger. Edits are idempotent, so that after a lost reply
+/// the bucket can be read and the edit applied again.
 struct LedgerEdit {
   EditKind Kind = EditKind::PutIntent;
   CallId Call;
   CallAttempt Attempt = UndeclaredAttempt;
   IncarnationId Owner;
   std::uint64_t Nonce = 0;
-  /// For PutResult.
+  /// The desk's answer, for PutResult.
   int Status = 0;
   std::string Answer;
 };
@@ -36,18 +36,18 @@
   HeldByOther,
   /// The call is done; the entry has the answer.
   AlreadyDone,
-  /// There is no room in the bucket; nothing was changed.
+  /// The bucket is full; nothing was changed.
   Full,
-  /// The ledger could not be asked.
+  /// The ledger could not be read or written.
   Unavailable,
 };
 
-/// What became of an edit.
+/// The outcome of an edit.
 struct EditOutcome {
   EditVerdict Verdict = EditVerdict::Unavailable;
-  /// The entry as it stands, for AlreadyDone.
+  /// The current entry, for AlreadyDone.
   std::optional<LedgerEntry> Entry;
-  /// Set on Unavailable when a write was sent whose fate isn't known.
+  /// Set for Unavailable if a write was sent whose outcome isn't known.
   bool MayHaveBeenWritten = false;
 };
 
--- a/Libraries/LibDecision/LedgerEntry.h
+++ b/Libraries/LibDecision/LedgerEntry.h
@@ -9,7 +9,8 @@
 
 namespace sorrelbay {
 
-/// One call as its caller names it: keys are unique within a team.
+/// Identifies a call by the key that its caller chose. Keys are unique within a
+/// team.
 struct CallId {
   TeamId Team;
   IdempotencyKey Key;
@@ -22,40 +23,40 @@
   }
 };
 
-/// How often the caller has sent this key, this time included; 1 is the first
-/// attempt. A caller counts each sending, those of its HTTP library too.
+/// Number of times that the caller has sent this key, this time included; 1 is
+/// the first attempt. Resends by the caller's HTTP library count, too.
 using CallAttempt = std::uint32_t;
-/// The caller didn't say which attempt this is.
+/// The caller did not declare which attempt this is.
 constexpr CallAttempt UndeclaredAttempt = 0;
-/// A closed mark that covers every attempt there can be.
+/// A closed mark that covers every possible attempt.
 constexpr CallAttempt AllAttempts = std::numeric_limits<CallAttempt>::max();
 
 enum class EntryState {
-  /// The owner may have sent the call to a desk, or may yet send it.
+  /// The owner may have sent the call to a desk, or may still send it.
   Intent,
   /// The desk has answered.
   Done,
-  /// The call has not run, and no attempt up to ClosedThrough ever runs it.
+  /// The call has not run, and no attempt up to ClosedThrough will ever run it.
   Closed,
 };
 
-/// What the ledger knows of one call.
+/// The ledger's record of one call.
 struct LedgerEntry {
   CallId Call;
   EntryState State = EntryState::Intent;
   /// The attempt that put the intent.
   CallAttempt Attempt = UndeclaredAttempt;
-  /// No attempt up to this one has run the call or will; 0 for none.
+  /// No attempt up to this one has run the call or ever will; 0 for none.
   CallAttempt ClosedThrough = 0;
-  /// The daemon's incarnation that put the intent, and its number for it.
+  /// The daemon's incarnation that put the intent, and its number for the call.
   IncarnationId Owner;
   std::uint64_t Nonce = 0;
   /// The desk's HTTP status and body, once done. A body that is too large for
-  /// the ledger is left out, which HasAnswer tells from an empty one.
+  /// the ledger is left out; HasAnswer distinguishes this from an empty body.
   int Status = 0;
   std::string Answer;
   bool HasAnswer = false;
-  /// When the entry was last changed, by the clock of the host that did.
+  /// Time of the last change, by the clock of the host that made it.
   Instant Time{};
 };
 
--- a/Libraries/LibDecision/RetryBudget.cpp
+++ b/Libraries/LibDecision/RetryBudget.cpp
@@ -3,17 +3,19 @@
 
 namespace sorrelbay {
 
-void RetryBudget::noteCall() { Saved = std::min(MaxBalance, Saved + Share); }
+void RetryBudget::noteCall() {
+  Balance = std::min(MaxBalance, Balance + Share);
+}
 
 void RetryBudget::setMaxBalance(double maxBalance) {
   MaxBalance = maxBalance;
-  Saved = std::min(MaxBalance, Saved);
+  Balance = std::min(MaxBalance, Balance);
 }
 
 bool RetryBudget::takeRetry(RetryLayer layer) {
-  if (layer == RetryLayer::Forwarded || Saved < 1)
+  if (layer == RetryLayer::Forwarded || Balance < 1)
     return false;
-  Saved -= 1;
+  Balance -= 1;
   return true;
 }
 
--- a/Libraries/LibDecision/RetryBudget.h
+++ b/Libraries/LibDecision/RetryBudget.h
@@ -2,38 +2,39 @@
 
 namespace sorrelbay {
 
-/// Who asks for a retry.
+/// The layer that requests a retry.
 enum class RetryLayer {
-  /// The daemon that the caller speaks to.
+  /// The daemon that the caller is connected to.
   EntryHost,
-  /// A daemon that another one forwarded the call to. It never retries: two
-  /// layers that retry multiply the load of an outage.
+  /// A daemon that received the call from another daemon. It never retries,
+  /// since two layers of retries multiply the load during an outage.
   Forwarded,
 };
 
-/// Allows retries up to a tenth of the calls, so that an upstream's trouble
-/// can't be doubled by the retries of its calls. Not thread-safe.
+/// A retry budget: each call adds a share of a retry, one tenth by default, so
+/// that retries cannot multiply the load on a failing upstream. Not
+/// thread-safe.
 class RetryBudget {
 public:
-  /// Each call earns that share of a retry; at most so many are saved up for a
-  /// burst.
+  /// Each call adds `share` to the balance, which is capped at the given
+  /// maximum. The balance starts at that maximum.
   explicit RetryBudget(double share = 0.1, double maxBalance = 10)
       : RetryBudget(share, maxBalance, maxBalance) {}
-  /// One that begins with so many saved up.
-  RetryBudget(double share, double maxBalance, double saved)
-      : Share(share), MaxBalance(maxBalance), Saved(saved) {}
+  /// Starts with the given balance.
+  RetryBudget(double share, double maxBalance, double balance)
+      : Share(share), MaxBalance(maxBalance), Balance(balance) {}
 
   void noteCall();
-  /// Changes how many may be saved up; what is saved beyond it is lost.
+  /// Changes the cap of the balance and discards what exceeds it.
   void setMaxBalance(double maxBalance);
-  /// Takes a retry out of the budget; false if there is none or the layer may
-  /// not retry.
+  /// Takes one retry out of the balance. Returns false if the balance is below
+  /// 1 or the layer may not retry.
   bool takeRetry(RetryLayer layer);
 
 private:
   double Share;
   double MaxBalance;
-  double Saved;
+  double Balance;
 };
 
 } // namespace sorrelbay
--- a/Libraries/LibDecision/SequentialTest.cpp
+++ b/Libraries/LibDecision/SequentialTest.cpp
@@ -4,19 +4,20 @@
 
 namespace sorrelbay {
 
-// Half of the weight is on a fault from the start; the rest thins out slowly,
-// down to a floor that bounds how much slower a very late fault is found.
-static constexpr double WeightOfFirst = 0.5;
-static constexpr double LeastWeight = 1.0 / 2000;
+// Half of the weight is on a fault from the start. The rest decreases slowly
+// with the interval down to a lower bound, which limits how much longer a very
+// late fault takes to find.
+static constexpr double FirstStartWeight = 0.5;
+static constexpr double MinStartWeight = 1.0 / 2000;
 // Keeps the sums finite; far above any threshold.
-static constexpr double LargestSum = 1e30;
+static constexpr double MaxSum = 1e30;
 
 double logRatioOf(std::uint64_t calls, std::uint64_t bad, double oldRate,
                   double newRate) {
-  const auto bads = static_cast<double>(bad);
-  const auto goods = static_cast<double>(calls - std::min(bad, calls));
-  return bads * std::log(newRate / oldRate) +
-         goods * std::log((1 - newRate) / (1 - oldRate));
+  const auto badCount = static_cast<double>(bad);
+  const auto goodCount = static_cast<double>(calls - std::min(bad, calls));
+  return badCount * std::log(newRate / oldRate) +
+         goodCount * std::log((1 - newRate) / (1 - oldRate));
 }
 
 LogRatios logRatiosOf(std::uint64_t calls, std::uint64_t bad, double oldRate) {
@@ -44,15 +45,15 @@
 
 double SequentialTest::startWeight() const {
   if (Intervals == 0)
-    return WeightOfFirst;
+    return FirstStartWeight;
   const auto n = static_cast<double>(Intervals);
-  return std::max(LeastWeight, (1 - WeightOfFirst) / (n * (n + 1)));
+  return std::max(MinStartWeight, (1 - FirstStartWeight) / (n * (n + 1)));
 }
 
 void SequentialTest::closeInterval(const LogRatios &interval) {
   const double weight = startWeight();
   for (std::size_t n = 0; n < Sums.size(); ++n)
-    Sums[n] = std::min(LargestSum, (Sums[n] + weight) * std::exp(interval[n]));
+    Sums[n] = std::min(MaxSum, (Sums[n] + weight) * std::exp(interval[n]));
   ++Intervals;
 }
 
--- a/Libraries/LibDecision/SequentialTest.h
+++ b/Libraries/LibDecision/SequentialTest.h
@@ -6,18 +6,19 @@
 
 namespace sorrelbay {
 
-/// The alternatives that a version is tested against: its odds of a bad call
-/// are so many times those of the old version.
+/// The alternative hypotheses: the version's odds of a bad call are these
+/// multiples of the old version's odds.
 constexpr std::array<double, 4> OddsRatios = {2.5, 5, 20, 150};
-/// How much each alternative weighs in the mixture; they add up to 1.
+/// Weight of each alternative in the mixture; the weights add up to 1.
 constexpr std::array<double, 4> OddsWeights = {0.2, 0.45, 0.25, 0.1};
 
-/// A log likelihood ratio for each alternative against "no worse than the old
-/// version".
+/// For each alternative the log likelihood ratio against the hypothesis "no
+/// worse than the old version".
 using LogRatios = std::array<double, OddsRatios.size()>;
 
-/// The log likelihood ratios of so many bad calls among so many, where a call
-/// to the old version is bad with the given probability.
+/// The log likelihood ratios for the given numbers of calls and of bad calls
+/// among them, where a call to the old version is bad with probability
+/// `oldRate`.
 LogRatios logRatiosOf(std::uint64_t calls, std::uint64_t bad, double oldRate);
 
 /// The log likelihood ratio of one alternative rate against the old one.
@@ -27,23 +28,23 @@
 LogRatios operator+(const LogRatios &a, const LogRatios &b);
 LogRatios operator*(double factor, const LogRatios &ratios);
 
-/// A mixture sequential probability ratio test whose evidence may begin to
-/// count at any interval: a version that was good for thousands of calls and
-/// turns bad is found about as fast as one that was bad from the start, because
-/// the good calls before the change do not weigh against the later ones.
-/// The value is an e-value: a version that is no worse than the old one brings
-/// it above x with a probability of about 1/x at most, however often one looks.
+/// A mixture sequential probability ratio test in which the fault may begin at
+/// any interval. A version that turns bad after thousands of good calls is
+/// found about as fast as one that was bad from the start, because good calls
+/// before the change do not count against later bad ones. The value is an
+/// e-value: for a version that is no worse than the old one it ever exceeds x
+/// with a probability of at most about 1/x, however often it is evaluated.
 class SequentialTest {
 public:
-  /// Ends the interval that began at the last call of this function.
+  /// Ends the interval that began at the previous call.
   void closeInterval(const LogRatios &interval);
 
-  /// The value with the interval that is still open.
+  /// The value including the interval that is still open.
   double value(const LogRatios &open) const;
 
 private:
-  // The sum, over all intervals at which the fault may have begun, of that
-  // start's weight times the likelihood ratio since then.
+  // Sum over all intervals at which the fault may have begun: the weight of
+  // that start times the likelihood ratio since then.
   LogRatios Sums{};
   std::uint64_t Intervals = 0;
 
--- a/Libraries/LibDecision/TicketTable.cpp
+++ b/Libraries/LibDecision/TicketTable.cpp
@@ -5,7 +5,7 @@
 
 TicketTable::TicketTable(IncarnationId self, LedgerLimits limits)
     : Self(std::move(self)), Limits(limits) {
-  // An entry outlives the ticket that it is for.
+  // An entry is kept longer than its ticket is valid.
   Limits.Retention = 2 * TicketLifetime;
 }
 
--- a/Libraries/LibDecision/TicketTable.h
+++ b/Libraries/LibDecision/TicketTable.h
@@ -5,26 +5,28 @@
 
 namespace sorrelbay {
 
-/// How long a ticket may be used after it was given out.
+/// How long a ticket is valid after it was issued.
 constexpr Duration TicketLifetime = hours(1);
 
-/// The calls of the tickets that this incarnation has given out: the same
-/// edits by the same rules as in the ledger, but in memory, where no other
-/// daemon has a say. It dies with the incarnation and its tickets with it.
+/// The calls of the tickets that this incarnation has issued. It follows the
+/// same rules as the ledger but is kept in memory, since no other daemon may
+/// run these calls. It ends with the incarnation, as do its tickets.
 class TicketTable {
 public:
   TicketTable(IncarnationId self, LedgerLimits limits);
 
-  /// A new ticket that names the address at which this daemon listens.
+  /// Issues a ticket with the address at which this daemon listens.
   CallTicket issue(const std::string &address, Instant at);
-  /// Whether the ticket is this incarnation's and may still be run. An older
-  /// one may have been forgotten here, so running it could run it twice.
+  /// Whether the ticket was issued by this incarnation and has not expired. The
+  /// entry of an expired ticket may have been dropped, so the call could run
+  /// twice.
   bool isValid(const CallTicket &ticket, Instant at);
   EditOutcome apply(const LedgerEdit &edit, Instant at);
   std::size_t size() const { return Calls.entries().size(); }
 
 private:
-  /// A clock set back must not make a forgotten ticket valid again.
+  /// Returns the latest time seen so far. A clock that is set back must not
+  /// make an expired ticket valid again.
   Instant latest(Instant at);
 
   IncarnationId Self;
