--- a/Libraries/LibDecision/Admission.cpp
+++ b/Libraries/LibDecision/Admission.cpp
@@ -110,7 +110,7 @@
   verifyInvariant(isNew, "a call starts once", "the call was already started");
   verifyInvariant(Started.size() <=
                       static_cast<std::size_t>(Settings.CallSlots),
-                  "no more calls are open than there are slots",
+                  "no more calls start than there are places",
                   "a call was started without a free slot");
   verifyInvariant(call.Deadline > now, "no call starts after its deadline",
                   "a call was started after its deadline");
--- a/Tests/LibDecision/DeskCallSimulation.cpp
+++ b/Tests/LibDecision/DeskCallSimulation.cpp
@@ -7,7 +7,7 @@
 static constexpr int HostCount = 4;
 static constexpr int CallerCount = 6;
 static constexpr CallAttempt MaxAttempts = 7;
-// Few, so that calls meet in them.
+// Few buckets, so that calls share them.
 static constexpr std::uint32_t Buckets = 2;
 static constexpr int DrainSteps = 20000;
 
@@ -29,10 +29,11 @@
 
 DeskCallSimulation::DeskCallSimulation(std::uint64_t seed, Omission omission)
     : Engine(seed), Omitted(omission), Hosts(HostCount) {
-  // From nearly undisturbed to hopeless: some faults need a call to get far.
-  DisturbancePercent = 1 + static_cast<int>(pick(8));
+  // From almost no faults to very many: some defects only show once a call has
+  // made progress.
+  FaultPercent = 1 + static_cast<int>(pick(8));
   for (int it = 0; it < HostCount; it++)
-    startLife(it);
+    startProcess(it);
   for (std::size_t it = 0; it < CallerCount; it++) {
     Caller caller;
     caller.Id = {TeamId("north"), IdempotencyKey("key-" + std::to_string(it))};
@@ -53,11 +54,11 @@
   try {
     for (int it = 0; it < steps; it++)
       step();
-    IsCalm = true;
+    IsFaultFree = true;
     IsStoreDown = false;
     for (Host &it : Hosts)
       it.IsPaused = false;
-    for (int it = 0; it < DrainSteps && !Bag.empty(); it++)
+    for (int it = 0; it < DrainSteps && !PendingMessages.empty(); it++)
       step();
   } catch (const InvariantViolation &) {
     Count.BrokenInvariants++;
@@ -71,30 +72,32 @@
 
 void DeskCallSimulation::step() {
   Clock += milliseconds(pick(40));
-  if (!IsCalm && chance(DisturbancePercent))
-    disturb();
+  if (!IsFaultFree && chance(FaultPercent))
+    injectFault();
   else
     deliverOne();
 }
 
 bool DeskCallSimulation::deliverOne() {
-  if (Bag.empty())
+  if (PendingMessages.empty())
     return false;
-  std::swap(Bag[pick(Bag.size())], Bag.back());
-  Event event = std::move(Bag.back());
-  Bag.pop_back();
+  std::swap(PendingMessages[pick(PendingMessages.size())],
+            PendingMessages.back());
+  Event event = std::move(PendingMessages.back());
+  PendingMessages.pop_back();
   if (event.ToHost >= 0 && Hosts[event.ToHost].IsPaused) {
-    Bag.push_back(std::move(event));
+    PendingMessages.push_back(std::move(event));
     return false;
   }
-  if (event.OfLife != 0 && Hosts[event.ToHost].Life != event.OfLife)
+  if (event.OfProcess != 0 &&
+      Hosts[event.ToHost].ProcessNumber != event.OfProcess)
     return false;
   Count.Events++;
   event.Deliver();
   return true;
 }
 
-void DeskCallSimulation::disturb() {
+void DeskCallSimulation::injectFault() {
   const int host = static_cast<int>(pick(HostCount));
   const std::size_t caller = pick(CallerCount);
   switch (pick(8)) {
@@ -108,34 +111,34 @@
     IsStoreDown = !IsStoreDown;
     return;
   case 4:
-    // Longer than an intent may wait to be used.
+    // May exceed the time after which an intent is not used any more.
     Clock += minutes(pick(3));
     return;
   case 5:
-    return ask(caller);
+    return queryCall(caller);
   default:
-    // The caller gave up waiting.
+    // The caller timed out and retries.
     return beginAttempt(caller);
   }
 }
 
-void DeskCallSimulation::startLife(int host) {
+void DeskCallSimulation::startProcess(int host) {
   Host fresh;
-  fresh.Life = NextNumber++;
-  fresh.Incarnation =
-      IncarnationId(std::to_string(host) + "-" + std::to_string(fresh.Life));
+  fresh.ProcessNumber = NextNumber++;
+  fresh.Incarnation = IncarnationId(std::to_string(host) + "-" +
+                                    std::to_string(fresh.ProcessNumber));
   fresh.Tickets =
       std::make_unique<TicketTable>(fresh.Incarnation, LedgerLimits{});
   Hosts[host] = std::move(fresh);
 }
 
-// The new process has the old one's address and none of its memory.
+// The new process has the address of the old one but none of its memory.
 void DeskCallSimulation::crash(int host) {
   Count.Crashes++;
   for (auto &[number, live] : Hosts[host].Calls)
-    if (live.Drop && !live.Protocol.isAnswered())
-      live.Drop();
-  startLife(host);
+    if (live.Disconnect && !live.Protocol.isAnswered())
+      live.Disconnect();
+  startProcess(host);
 }
 
 void DeskCallSimulation::beginAttempt(std::size_t caller) {
@@ -144,10 +147,10 @@
     return;
   const CallAttempt ordinal = ++it.Latest;
   const int host = static_cast<int>(pick(HostCount));
-  const EntryMode entrance = chance(15) ? EntryMode::Shed : EntryMode::Start;
-  postTo(host, [this, host, entrance, caller, ordinal] {
-    enter(
-        host, entrance, caller, ordinal,
+  const EntryMode entryMode = chance(15) ? EntryMode::Shed : EntryMode::Start;
+  postTo(host, [this, host, entryMode, caller, ordinal] {
+    acceptCall(
+        host, entryMode, caller, ordinal,
         [this, caller, ordinal](const DeskCallAnswer &answer) {
           post([this, caller, ordinal, answer] {
             receive(caller, ordinal, answer);
@@ -157,13 +160,13 @@
   });
 }
 
-void DeskCallSimulation::ask(std::size_t caller) {
+void DeskCallSimulation::queryCall(std::size_t caller) {
   const CallAttempt ordinal = Callers[caller].Latest;
   if (ordinal == 0)
     return;
   const int host = static_cast<int>(pick(HostCount));
   postTo(host, [this, host, caller, ordinal] {
-    enter(host, EntryMode::Query, caller, ordinal, nullptr, nullptr);
+    acceptCall(host, EntryMode::Query, caller, ordinal, nullptr, nullptr);
   });
 }
 
@@ -171,19 +174,20 @@
                                  const DeskCallAnswer &answer) {
   Caller &it = Callers[caller];
   if (answer.Outcome == CallOutcome::Done)
-    it.IsSatisfied = true;
-  if (ordinal == it.Latest && (!it.IsSatisfied || chance(20)))
+    it.HasDoneAnswer = true;
+  if (ordinal == it.Latest && (!it.HasDoneAnswer || chance(20)))
     beginAttempt(caller);
 }
 
-void DeskCallSimulation::enter(int host, EntryMode entrance, std::size_t caller,
-                               CallAttempt ordinal, Reply respond,
-                               std::function<void()> drop) {
+void DeskCallSimulation::acceptCall(int host, EntryMode entryMode,
+                                    std::size_t caller, CallAttempt ordinal,
+                                    Reply respond,
+                                    std::function<void()> disconnect) {
   Host &at = Hosts[host];
   const Caller &from = Callers[caller];
   DeskCall call;
   call.Purpose =
-      entrance == EntryMode::Query ? CallPurpose::Query : CallPurpose::Run;
+      entryMode == EntryMode::Query ? CallPurpose::Query : CallPurpose::Run;
   call.Id = from.Id;
   call.Attempt = from.DeclaresAttempts ? ordinal : UndeclaredAttempt;
   call.Self = at.Incarnation;
@@ -197,9 +201,9 @@
                 ordinal,
                 false,
                 std::move(respond),
-                std::move(drop)};
+                std::move(disconnect)};
   at.Calls.emplace(number, std::move(live));
-  act(host, number, begin(host, at.Calls.at(number), entrance));
+  executeActions(host, number, begin(host, at.Calls.at(number), entryMode));
   if (chance(15))
     reply(host, [this, host, number] {
       onDesk(host, number, &DeskCallProtocol::onDeadline);
@@ -207,18 +211,18 @@
 }
 
 DeskCallActions DeskCallSimulation::begin(int host, LiveCall &live,
-                                          EntryMode entrance) {
+                                          EntryMode entryMode) {
   const auto ticket = parseTicket(live.Protocol.call().Id.Key);
   const bool isOwn = ticket && ticket->Owner == Hosts[host].Incarnation;
   if (isOwn && !Hosts[host].Tickets->isValid(*ticket, Clock))
     return live.Protocol.refuseExpiredTicket();
-  if (entrance == EntryMode::Shed)
+  if (entryMode == EntryMode::Shed)
     return live.Protocol.shed();
   return live.Protocol.start(Clock);
 }
 
-void DeskCallSimulation::act(int host, std::uint64_t call,
-                             const DeskCallActions &actions) {
+void DeskCallSimulation::executeActions(int host, std::uint64_t call,
+                                        const DeskCallActions &actions) {
   for (const DeskCallAction &it : actions) {
     if (const auto *edit = std::get_if<SubmitEdit>(&it))
       submit(host, call, *edit);
@@ -256,10 +260,10 @@
   const std::uint32_t bucket = bucketOf(edit.Call, Buckets);
   Hosts[host].Updaters.try_emplace(bucket, LedgerLimits{});
   Hosts[host].Updaters.at(bucket).submit(number, std::move(edit));
-  pump(host, bucket);
+  sendDueRequest(host, bucket);
 }
 
-void DeskCallSimulation::pump(int host, std::uint32_t bucket) {
+void DeskCallSimulation::sendDueRequest(int host, std::uint32_t bucket) {
   BucketUpdater &updater = Hosts[host].Updaters.at(bucket);
   if (const auto request = updater.next(Clock))
     sendToStore(host, bucket, *request);
@@ -275,25 +279,29 @@
 
 void DeskCallSimulation::onEdit(int host, std::uint64_t call,
                                 const EditOutcome &outcome) {
-  act(host, call, Hosts[host].Calls.at(call).Protocol.onEdit(outcome, Clock));
+  executeActions(host, call,
+                 Hosts[host].Calls.at(call).Protocol.onEdit(outcome, Clock));
 }
 
-void DeskCallSimulation::onDesk(int host, std::uint64_t call, Take take) {
+void DeskCallSimulation::onDesk(int host, std::uint64_t call,
+                                ProtocolEvent protocolEvent) {
   if (Omitted == Omission::SingleSendAfterLoss &&
-      take == &DeskCallProtocol::onDeskLost)
-    take = &DeskCallProtocol::onDeskRefused;
-  act(host, call, (Hosts[host].Calls.at(call).Protocol.*take)());
+      protocolEvent == &DeskCallProtocol::onDeskLost)
+    protocolEvent = &DeskCallProtocol::onDeskRefused;
+  executeActions(host, call,
+                 (Hosts[host].Calls.at(call).Protocol.*protocolEvent)());
 }
 
 void DeskCallSimulation::sendToStore(int host, std::uint32_t bucket,
                                      const BucketRequest &request) {
-  const bool isGivenUp = !IsCalm && chance(10);
-  // A request that its sender no longer waits for may still take effect.
-  const std::uint64_t life = isGivenUp ? 0 : Hosts[host].Life;
-  post([this, host, life, bucket, request] {
-    serveStore(host, life, bucket, request);
+  const bool isTimedOut = !IsFaultFree && chance(10);
+  // A request whose sender has timed out may still take effect.
+  const std::uint64_t processNumber =
+      isTimedOut ? 0 : Hosts[host].ProcessNumber;
+  post([this, host, processNumber, bucket, request] {
+    serveStore(host, processNumber, bucket, request);
   });
-  if (!isGivenUp)
+  if (!isTimedOut)
     return;
   Count.LostReplies++;
   reply(host, [this, host, bucket, request] {
@@ -304,14 +312,14 @@
       updater.onWritten(request.ExpectedVersion + 1);
     else
       updater.onWriteOutcomeUnknown();
-    pump(host, bucket);
+    sendDueRequest(host, bucket);
   });
 }
 
-void DeskCallSimulation::serveStore(int host, std::uint64_t life,
+void DeskCallSimulation::serveStore(int host, std::uint64_t processNumber,
                                     std::uint32_t bucket,
                                     const BucketRequest &request) {
-  std::function<void(BucketUpdater &)> tell = [](BucketUpdater &it) {
+  std::function<void(BucketUpdater &)> updateBucket = [](BucketUpdater &it) {
     it.onUnavailable();
   };
   const auto found = Store.find(bucket);
@@ -321,59 +329,60 @@
     std::optional<StoredObject> object;
     if (found != Store.end())
       object = found->second;
-    tell = [object](BucketUpdater &it) { it.onRead(object); };
+    updateBucket = [object](BucketUpdater &it) { it.onRead(object); };
   } else if (!IsStoreDown && (request.ExpectedVersion == version ||
                               Omitted == Omission::ConditionalUpdate)) {
     Store[bucket] = {request.Body, version + 1};
-    tell = [version](BucketUpdater &it) { it.onWritten(version + 1); };
-    if (!IsCalm && chance(8)) {
+    updateBucket = [version](BucketUpdater &it) { it.onWritten(version + 1); };
+    if (!IsFaultFree && chance(8)) {
       Count.LostReplies++;
-      tell = [](BucketUpdater &it) { it.onWriteOutcomeUnknown(); };
+      updateBucket = [](BucketUpdater &it) { it.onWriteOutcomeUnknown(); };
     }
   } else if (!IsStoreDown) {
-    tell = [](BucketUpdater &it) { it.onConflict(); };
+    updateBucket = [](BucketUpdater &it) { it.onConflict(); };
   }
-  if (life == 0 || Hosts[host].Life != life)
+  if (processNumber == 0 || Hosts[host].ProcessNumber != processNumber)
     return;
-  reply(host, [this, host, bucket, tell] {
-    tell(Hosts[host].Updaters.at(bucket));
-    pump(host, bucket);
+  reply(host, [this, host, bucket, updateBucket] {
+    updateBucket(Hosts[host].Updaters.at(bucket));
+    sendDueRequest(host, bucket);
   });
 }
 
 void DeskCallSimulation::sendToDesk(int host, std::uint64_t call) {
   LiveCall &live = Hosts[host].Calls.at(call);
   live.WasSent = true;
-  const bool isGivenUp = !IsCalm && chance(10);
-  const std::uint64_t life = isGivenUp ? 0 : Hosts[host].Life;
+  const bool isTimedOut = !IsFaultFree && chance(10);
+  const std::uint64_t processNumber =
+      isTimedOut ? 0 : Hosts[host].ProcessNumber;
   const std::size_t caller = live.CallerIndex;
   const CallAttempt ordinal = live.Ordinal;
-  post([this, host, life, call, caller, ordinal] {
-    serveDesk(host, life, call, caller, ordinal);
+  post([this, host, processNumber, call, caller, ordinal] {
+    serveDesk(host, processNumber, call, caller, ordinal);
   });
-  if (isGivenUp)
+  if (isTimedOut)
     reply(host, [this, host, call] {
       onDesk(host, call, &DeskCallProtocol::onDeskLost);
     });
 }
 
-void DeskCallSimulation::serveDesk(int host, std::uint64_t life,
+void DeskCallSimulation::serveDesk(int host, std::uint64_t processNumber,
                                    std::uint64_t call, std::size_t caller,
                                    CallAttempt ordinal) {
-  const bool isRefused = life != 0 && chance(25);
+  const bool isRefused = processNumber != 0 && chance(25);
   if (!isRefused)
     checkRun(caller, ordinal);
-  if (life == 0 || Hosts[host].Life != life)
+  if (processNumber == 0 || Hosts[host].ProcessNumber != processNumber)
     return;
-  const bool isLost = !isRefused && !IsCalm && chance(15);
+  const bool isLost = !isRefused && !IsFaultFree && chance(15);
   reply(host, [this, host, call, isRefused, isLost] {
     if (isRefused)
       return onDesk(host, call, &DeskCallProtocol::onDeskRefused);
     if (isLost)
       return onDesk(host, call, &DeskCallProtocol::onDeskLost);
     DeskCallProtocol &protocol = Hosts[host].Calls.at(call).Protocol;
-    act(host, call,
-        protocol.onDeskAnswered(200, protocol.call().Id.Key.text()));
+    executeActions(host, call,
+                   protocol.onDeskAnswered(200, protocol.call().Id.Key.text()));
   });
 }
 
@@ -383,34 +392,36 @@
   const LiveCall &live = Hosts[host].Calls.at(call);
   const std::size_t caller = live.CallerIndex;
   const CallAttempt ordinal = live.Ordinal;
-  const std::uint64_t life = Hosts[host].Life;
+  const std::uint64_t processNumber = Hosts[host].ProcessNumber;
   const bool isQuery = !live.Respond;
-  const auto back = [this, host, life, call](const auto &feed) {
-    if (Hosts[host].Life == life)
-      reply(host, [this, host, call, feed] {
-        act(host, call, feed(Hosts[host].Calls.at(call).Protocol));
+  const auto sendBack = [this, host, processNumber,
+                         call](const auto &applyReply) {
+    if (Hosts[host].ProcessNumber == processNumber)
+      reply(host, [this, host, call, applyReply] {
+        executeActions(host, call,
+                       applyReply(Hosts[host].Calls.at(call).Protocol));
       });
   };
-  const auto lose = [back] {
-    back([](DeskCallProtocol &it) { return it.onForwardLost(); });
+  const auto loseForward = [sendBack] {
+    sendBack([](DeskCallProtocol &it) { return it.onForwardLost(); });
   };
-  const auto refuse = [back] {
-    back([](DeskCallProtocol &it) { return it.onForwardRefused(); });
+  const auto refuseForward = [sendBack] {
+    sendBack([](DeskCallProtocol &it) { return it.onForwardRefused(); });
   };
-  if (!IsCalm && chance(10))
-    lose();
+  if (!IsFaultFree && chance(10))
+    loseForward();
   postTo(to, [=] {
     if (Hosts[to].Incarnation != owner)
-      return refuse();
-    const EntryMode entrance = isQuery      ? EntryMode::Query
-                               : chance(15) ? EntryMode::Shed
-                                            : EntryMode::Start;
-    const Reply respond = [back](const DeskCallAnswer &answer) {
-      back([answer](DeskCallProtocol &it) {
+      return refuseForward();
+    const EntryMode entryMode = isQuery      ? EntryMode::Query
+                                : chance(15) ? EntryMode::Shed
+                                             : EntryMode::Start;
+    const Reply respond = [sendBack](const DeskCallAnswer &answer) {
+      sendBack([answer](DeskCallProtocol &it) {
         return it.onForwardAnswered(answer);
       });
     };
-    enter(to, entrance, caller, ordinal, respond, lose);
+    acceptCall(to, entryMode, caller, ordinal, respond, loseForward);
   });
 }
 
@@ -427,10 +438,10 @@
   Count.Unknown += answer.Outcome == CallOutcome::Unknown ? 1 : 0;
   if (!live.Respond)
     return;
-  if (IsCalm || !chance(5))
+  if (IsFaultFree || !chance(5))
     live.Respond(answer);
-  else if (live.Drop)
-    live.Drop();
+  else if (live.Disconnect)
+    live.Disconnect();
 }
 
 void DeskCallSimulation::checkRun(std::size_t caller, CallAttempt ordinal) {
@@ -445,8 +456,8 @@
 
 void DeskCallSimulation::checkNotRun(std::size_t caller, CallAttempt ordinal) {
   Caller &it = Callers[caller];
-  // Of an undeclared attempt the caller can't tell which it was, so the
-  // answer must hold for all that were begun.
+  // The caller cannot match an undeclared attempt to an answer, so the answer
+  // must hold for all attempts started so far.
   const CallAttempt through = it.DeclaresAttempts ? ordinal : it.Latest;
   it.NotRunThrough = std::max(it.NotRunThrough, through);
   for (const CallAttempt ran : it.RanBy) {
--- a/Tests/LibDecision/DeskCallSimulation.h
+++ b/Tests/LibDecision/DeskCallSimulation.h
@@ -10,8 +10,8 @@
 
 namespace sorrelbay {
 
-/// A part of the mechanism that the world leaves out, to show that the checks
-/// find what it prevents.
+/// A part of the mechanism that the simulation leaves out, to show that the
+/// checks detect the failures that it prevents.
 enum class Omission {
   None,
   IntentBeforeSend,
@@ -23,7 +23,7 @@
   ClosedMark,
 };
 
-/// What a run of the world has counted.
+/// Counters of one run.
 struct SimulationCounts {
   std::uint64_t Events = 0;
   std::uint64_t Runs = 0;
@@ -31,12 +31,13 @@
   std::uint64_t Done = 0;
   std::uint64_t NotRun = 0;
   std::uint64_t Unknown = 0;
-  /// An attempt ran that a "not run" covers, before or after it was said.
+  /// Attempts that ran although a "not run" covers them, sent before or after
+  /// the run.
   std::uint64_t FalseNotRun = 0;
-  /// "Not run" said of an attempt whose caller had begun a later one that ran;
-  /// true as it is worded.
+  /// "Not run" answers for an attempt whose caller had started a later attempt
+  /// that ran. Such an answer is correct.
   std::uint64_t Superseded = 0;
-  /// Attempts on a living host that never got an answer.
+  /// Attempts that never got an answer although their host did not crash.
   std::uint64_t Unanswered = 0;
   std::uint64_t Crashes = 0;
   std::uint64_t LostReplies = 0;
@@ -45,9 +46,9 @@
   SimulationCounts &operator+=(const SimulationCounts &more);
 };
 
-/// Entry hosts, a ledger, desks and callers whose messages are delivered in an
-/// order drawn from the seed, with crashes, pauses, outages and losses between
-/// any two of them. All decisions are those of LibDecision.
+/// Simulates entry hosts, a ledger, desks and callers. The seed determines the
+/// order in which messages are delivered and the crashes, pauses, outages and
+/// losses between them. All decisions are made by LibDecision.
 class DeskCallSimulation {
 public:
   DeskCallSimulation(std::uint64_t seed, Omission omission);
@@ -58,9 +59,9 @@
     CallId Id;
     bool DeclaresAttempts = true;
     CallAttempt Latest = 0;
-    bool IsSatisfied = false;
-    /// By ordinal: the attempts that have run, and the last one covered by a
-    /// "not run".
+    bool HasDoneAnswer = false;
+    /// The ordinals of the attempts that have run, and the last one covered by
+    /// a "not run".
     std::vector<CallAttempt> RanBy;
     CallAttempt NotRunThrough = 0;
   };
@@ -71,65 +72,69 @@
     CallAttempt Ordinal = 0;
     bool WasSent = false;
     Reply Respond;
-    /// For a forwarded call: the connection to the forwarding host is cut.
-    std::function<void()> Drop;
+    /// For a forwarded call: breaks the connection to the forwarding host.
+    std::function<void()> Disconnect;
   };
   struct Host {
     bool IsPaused = false;
-    std::uint64_t Life = 0;
+    std::uint64_t ProcessNumber = 0;
     IncarnationId Incarnation;
     std::unique_ptr<TicketTable> Tickets;
     std::map<std::uint32_t, BucketUpdater> Updaters;
     std::map<std::uint64_t, LiveCall> Calls;
     std::map<EditNumber, std::uint64_t> EditOwners;
   };
-  /// A message on its way. Those to a host wait while it is paused; replies
-  /// belong to a connection of one life of it.
+  /// A message in transit. Messages to a host are held while it is paused.
+  /// Replies belong to a connection of one process of the host and are lost
+  /// when that process ends.
   struct Event {
     int ToHost = -1;
-    std::uint64_t OfLife = 0;
+    std::uint64_t OfProcess = 0;
     std::function<void()> Deliver;
   };
-  using Take = DeskCallActions (DeskCallProtocol::*)();
+  using ProtocolEvent = DeskCallActions (DeskCallProtocol::*)();
 
   std::uint64_t pick(std::uint64_t n) { return Engine() % n; }
   bool chance(int percent) { return pick(100) < std::uint64_t(percent); }
   void post(std::function<void()> deliver) {
-    Bag.push_back({-1, 0, std::move(deliver)});
+    PendingMessages.push_back({-1, 0, std::move(deliver)});
   }
   void postTo(int host, std::function<void()> deliver) {
-    Bag.push_back({host, 0, std::move(deliver)});
+    PendingMessages.push_back({host, 0, std::move(deliver)});
   }
   void reply(int host, std::function<void()> deliver) {
-    Bag.push_back({host, Hosts[host].Life, std::move(deliver)});
+    PendingMessages.push_back(
+        {host, Hosts[host].ProcessNumber, std::move(deliver)});
   }
 
   void step();
   bool deliverOne();
-  void disturb();
-  void startLife(int host);
+  void injectFault();
+  void startProcess(int host);
   void crash(int host);
 
   void beginAttempt(std::size_t caller);
-  void ask(std::size_t caller);
+  void queryCall(std::size_t caller);
   void receive(std::size_t caller, CallAttempt ordinal,
                const DeskCallAnswer &answer);
 
   enum class EntryMode { Start, Shed, Query };
-  void enter(int host, EntryMode entrance, std::size_t caller,
-             CallAttempt ordinal, Reply respond, std::function<void()> drop);
-  DeskCallActions begin(int host, LiveCall &live, EntryMode entrance);
-  void act(int host, std::uint64_t call, const DeskCallActions &actions);
+  void acceptCall(int host, EntryMode entryMode, std::size_t caller,
+                  CallAttempt ordinal, Reply respond,
+                  std::function<void()> disconnect);
+  DeskCallActions begin(int host, LiveCall &live, EntryMode entryMode);
+  void executeActions(int host, std::uint64_t call,
+                      const DeskCallActions &actions);
   void submit(int host, std::uint64_t call, const SubmitEdit &submit);
-  void pump(int host, std::uint32_t bucket);
+  void sendDueRequest(int host, std::uint32_t bucket);
   void onEdit(int host, std::uint64_t call, const EditOutcome &outcome);
-  void onDesk(int host, std::uint64_t call, Take take);
+  void onDesk(int host, std::uint64_t call, ProtocolEvent protocolEvent);
   void sendToStore(int host, std::uint32_t bucket,
                    const BucketRequest &request);
-  void serveStore(int host, std::uint64_t life, std::uint32_t bucket,
+  void serveStore(int host, std::uint64_t processNumber, std::uint32_t bucket,
                   const BucketRequest &request);
   void sendToDesk(int host, std::uint64_t call);
-  void serveDesk(int host, std::uint64_t life, std::uint64_t call,
+  void serveDesk(int host, std::uint64_t processNumber, std::uint64_t call,
                  std::size_t caller, CallAttempt ordinal);
   void forward(int host, std::uint64_t call, const IncarnationId &owner);
   void answer(int host, std::uint64_t call, DeskCallAnswer answer);
@@ -139,12 +144,12 @@
 
   std::mt19937_64 Engine;
   Omission Omitted;
-  int DisturbancePercent = 0;
-  bool IsCalm = false;
+  int FaultPercent = 0;
+  bool IsFaultFree = false;
   Instant Clock{hours(1)};
   std::vector<Host> Hosts;
   std::vector<Caller> Callers;
-  std::vector<Event> Bag;
+  std::vector<Event> PendingMessages;
   std::map<std::uint32_t, StoredObject> Store;
   bool IsStoreDown = false;
   std::uint64_t NextNumber = 1;
--- a/Tests/LibDecision/SoakSeeds.h
+++ b/Tests/LibDecision/SoakSeeds.h
@@ -5,11 +5,12 @@
 
 namespace sorrelbay {
 
-/// How many seeds a randomised case runs: a few in CI, as many as
-/// SORRELBAY_SOAK_SEEDS says in a soak.
+/// Number of seeds of a randomised test case: `inCi`, or the value of
+/// SORRELBAY_SOAK_SEEDS if it is set.
 inline std::uint64_t soakSeeds(std::uint64_t inCi) {
-  const char *wanted = std::getenv("SORRELBAY_SOAK_SEEDS");
-  return wanted == nullptr ? inCi : std::strtoull(wanted, nullptr, 10);
+  const char *seedCountText = std::getenv("SORRELBAY_SOAK_SEEDS");
+  return seedCountText == nullptr ? inCi
+                                  : std::strtoull(seedCountText, nullptr, 10);
 }
 
 } // namespace sorrelbay
--- a/Tests/LibDecision/TestAdmission.cpp
+++ b/Tests/LibDecision/TestAdmission.cpp
@@ -22,7 +22,7 @@
   return {id, TeamId(team), priority, 1, Start + deadline};
 }
 
-AdmissionSettings onePlace() {
+AdmissionSettings oneSlot() {
   AdmissionSettings settings;
   settings.CallSlots = 1;
   settings.MaxQueuedPerTeam = 3;
@@ -31,7 +31,7 @@
 
 struct ArrivalRow {
   const char *Name;
-  /// Calls of team a that are there already; the first has started.
+  /// Calls of team a that arrived before; the first has started.
   int Before;
   const char *Team;
   Duration Deadline;
@@ -44,18 +44,18 @@
 }
 
 const ArrivalRow ArrivalRows[] = {
-    {"a free place", 0, "a", seconds(2), AdmissionKind::Start,
+    {"a free slot", 0, "a", seconds(2), AdmissionKind::Start,
      AdmissionRefusalCause::None},
-    {"a free place and hardly time", 0, "a", milliseconds(1),
+    {"a free slot and a deadline in 1 ms", 0, "a", milliseconds(1),
      AdmissionKind::Start, AdmissionRefusalCause::None},
     {"past its deadline", 0, "a", -seconds(1), AdmissionKind::Refuse,
      AdmissionRefusalCause::DeadlineUnreachable},
     {"waits", 2, "a", seconds(5), std::nullopt, AdmissionRefusalCause::None},
-    {"no time to wait", 1, "a", milliseconds(250), AdmissionKind::Refuse,
-     AdmissionRefusalCause::DeadlineUnreachable},
-    {"its team waits too much", 4, "a", seconds(5), AdmissionKind::Refuse,
+    {"too little time to wait", 1, "a", milliseconds(250),
+     AdmissionKind::Refuse, AdmissionRefusalCause::DeadlineUnreachable},
+    {"the queue of its team is full", 4, "a", seconds(5), AdmissionKind::Refuse,
      AdmissionRefusalCause::QueueFull},
-    {"another team waits too much", 4, "b", seconds(5), std::nullopt,
+    {"the queue of another team is full", 4, "b", seconds(5), std::nullopt,
      AdmissionRefusalCause::None},
 };
 
@@ -65,7 +65,7 @@
 
 BOOST_DATA_TEST_CASE(answers_an_arrival,
                      boost::unit_test::data::make(ArrivalRows), row) {
-  Admission admission(onePlace());
+  Admission admission(oneSlot());
   for (int n = 0; n < row.Before; ++n)
     admission.arrive(call(static_cast<std::uint64_t>(n), "a", seconds(60)),
                      Start);
@@ -80,10 +80,10 @@
                     *row.Wanted == AdmissionKind::Refuse);
 }
 
-// An alarm comes in while a large team's chats wait. Behind them it would
-// reach the technician minutes late.
-BOOST_AUTO_TEST_CASE(an_alarm_goes_before_what_waits) {
-  Admission admission(onePlace());
+// An alarm arrives while a large team's chats are waiting. It must not wait
+// behind them.
+BOOST_AUTO_TEST_CASE(an_alarm_starts_before_waiting_calls) {
+  Admission admission(oneSlot());
   admission.arrive(call(1, "a", seconds(60)), Start);
   admission.arrive(call(2, "a", seconds(60)), Start);
   admission.arrive(call(3, "b", seconds(60), 9), Start);
@@ -92,8 +92,8 @@
   BOOST_CHECK_EQUAL(actions[0].CallId, 3U);
 }
 
-BOOST_AUTO_TEST_CASE(a_call_keeps_its_place_after_its_first_token) {
-  Admission admission(onePlace());
+BOOST_AUTO_TEST_CASE(a_call_keeps_its_slot_after_its_first_token) {
+  Admission admission(oneSlot());
   admission.arrive(call(1, "a", seconds(60)), Start);
   admission.arrive(call(2, "a", seconds(60)), Start);
   admission.begin(1, Start + milliseconds(100));
@@ -101,10 +101,10 @@
   BOOST_CHECK_EQUAL(admission.finish(1, Start + seconds(3)).size(), 1U);
 }
 
-// A wave of callers is refused at once. Told one and the same time, they would
-// all be back together and most would be refused again.
-BOOST_AUTO_TEST_CASE(refused_callers_come_back_one_after_the_other) {
-  Admission admission(onePlace());
+// Many callers are refused at once. With equal retry delays they would return
+// together, and most would be refused again.
+BOOST_AUTO_TEST_CASE(refused_callers_get_spaced_retry_delays) {
+  Admission admission(oneSlot());
   admission.arrive(call(0, "a", seconds(60)), Start);
   std::vector<Duration> times;
   for (std::uint64_t n = 1; n <= 200; ++n)
@@ -113,7 +113,8 @@
       times.push_back(it.RetryAfter);
   BOOST_REQUIRE_EQUAL(times.size(), 200U);
   std::sort(times.begin(), times.end());
-  // Ten a second are drained, so about ten may come back in any second.
+  // The drain rate is ten calls per second, so about ten callers may return in
+  // any second.
   for (std::size_t n = 0; n + 15 < times.size(); ++n)
     BOOST_CHECK_GE(toMilliseconds(times[n + 15] - times[n]), 1000);
 }
@@ -132,8 +133,8 @@
 
 namespace {
 
-/// What the randomised run drives: the product's admission, or a variant that
-/// its checker has to catch.
+/// The admission that the randomised test drives: the real one, or a variant
+/// that the checker must detect.
 struct AdmissionUnderTest {
   std::function<std::vector<AdmissionAction>(const QueuedCall &, Instant)>
       Arrive;
@@ -141,11 +142,11 @@
   std::function<std::vector<AdmissionAction>(Instant)> Tick;
 };
 
-constexpr int RunPlaces = 4;
+constexpr int RunSlots = 4;
 
-AdmissionUnderTest product(const std::vector<Team> &teams) {
+AdmissionUnderTest fairAdmission(const std::vector<Team> &teams) {
   AdmissionSettings settings;
-  settings.CallSlots = RunPlaces;
+  settings.CallSlots = RunSlots;
   settings.MaxQueuedPerTeam = 50;
   const auto admission = std::make_shared<Admission>(settings);
   admission->setTeams(teams);
@@ -158,12 +159,12 @@
           [admission](Instant at) { return admission->tick(at); }};
 }
 
-/// Serves in the order of arrival, of each priority if wanted, and refuses
-/// nothing.
-AdmissionUnderTest inOrder(bool isByPriority) {
+/// Starts calls in order of arrival, within each priority if `isByPriority`,
+/// and refuses none.
+AdmissionUnderTest fifoAdmission(bool isByPriority) {
   struct State {
     std::deque<QueuedCall> Waiting;
-    int Free = RunPlaces;
+    int Free = RunSlots;
   };
   const auto state = std::make_shared<State>();
   const auto startNext = [state] {
@@ -192,18 +193,17 @@
           [](Instant) { return std::vector<AdmissionAction>(); }};
 }
 
-AdmissionUnderTest oneQueue(const std::vector<Team> & /*teams*/) {
-  return inOrder(false);
+AdmissionUnderTest singleFifo(const std::vector<Team> & /*teams*/) {
+  return fifoAdmission(false);
 }
 
-AdmissionUnderTest queuesByPriority(const std::vector<Team> & /*teams*/) {
-  return inOrder(true);
+AdmissionUnderTest fifoByPriority(const std::vector<Team> & /*teams*/) {
+  return fifoAdmission(true);
 }
 
-/// Follows one run and says what promise was broken, if any: every call is
-/// started or refused once, refusals say when to come back, starts go by
-/// priority, and two teams that both wait get their weights' share of the
-/// starts.
+/// Checks one run and records a violation: every call is started or refused
+/// exactly once, refusals have a retry delay, calls start by priority, and two
+/// teams that both wait get the shares of the starts that their weights give.
 class AdmissionChecker {
 public:
   explicit AdmissionChecker(const std::vector<Team> &teams) {
@@ -211,38 +211,38 @@
       Weights[it.Id] = it.Weight;
   }
 
-  void arrived(const QueuedCall &call) { Waiting[call.Id] = call; }
+  void recordArrival(const QueuedCall &call) { Waiting[call.Id] = call; }
 
-  void acted(const AdmissionAction &action) {
+  void recordAction(const AdmissionAction &action) {
     const auto found = Waiting.find(action.CallId);
     if (found == Waiting.end()) {
-      Broken = "a call was answered twice";
+      Violation = "a call was answered twice";
       return;
     }
     const QueuedCall call = found->second;
     Waiting.erase(found);
     if (action.Kind == AdmissionKind::Refuse) {
       if (action.RetryAfter <= Duration{})
-        Broken = "a refusal does not say when to come back";
+        Violation = "a refusal has no retry delay";
       return;
     }
     started(call);
   }
 
-  std::string Broken;
+  std::string Violation;
 
 private:
   void started(const QueuedCall &call) {
     std::set<TeamId> waiting;
     for (const auto &it : Waiting) {
       if (it.second.Priority > call.Priority)
-        Broken = "a call waits while one of lower priority starts";
+        Violation = "a call waits while one of lower priority starts";
       if (it.second.Priority == call.Priority)
         waiting.insert(it.second.OfTeam);
     }
-    // What a team that waits is behind the one that is served, counted from
-    // when it began to wait.
-    auto &behind = Behind[call.Priority];
+    // The cost by which each waiting team lags behind the team that is served,
+    // counted from when it began to wait.
+    auto &behind = Lags[call.Priority];
     for (auto it = behind.begin(); it != behind.end();)
       it = waiting.count(it->first.first) == 0 || it->first.first == call.OfTeam
                ? behind.erase(it)
@@ -252,20 +252,20 @@
         continue;
       double &n = behind[{it, call.OfTeam}];
       n += call.Cost / Weights[call.OfTeam];
-      // A round of each team's quantum and the largest call on top.
-      if (n > 2 * (1 + MostCost))
-        Broken = "a team that waits gets less than its share";
+      // One round of each team's quantum plus the largest call.
+      if (n > 2 * (1 + MaxCost))
+        Violation = "a waiting team gets less than its share";
     }
   }
 
-  static constexpr double MostCost = 4;
+  static constexpr double MaxCost = 4;
   std::map<TeamId, int> Weights;
   std::map<std::uint64_t, QueuedCall> Waiting;
-  std::map<int, std::map<std::pair<TeamId, TeamId>, double>> Behind;
+  std::map<int, std::map<std::pair<TeamId, TeamId>, double>> Lags;
 };
 
-/// Five teams, two of them large, load that swings from half to three times of
-/// what is drained. Returns the first broken promise, or nothing.
+/// Five teams, two of them large, with a load between half and three times the
+/// drain rate. Returns a violation, or an empty string.
 std::string
 runAdmission(std::uint64_t seed,
              AdmissionUnderTest (*make)(const std::vector<Team> &)) {
@@ -280,62 +280,64 @@
   const AdmissionUnderTest admission = make(teams);
   AdmissionChecker checker(teams);
   std::vector<std::uint64_t> started;
-  const auto take = [&](const std::vector<AdmissionAction> &actions) {
+  const auto handleActions = [&](const std::vector<AdmissionAction> &actions) {
     for (const AdmissionAction &it : actions) {
-      checker.acted(it);
+      checker.recordAction(it);
       if (it.Kind == AdmissionKind::Start)
         started.push_back(it.CallId);
     }
   };
   Instant now = Start;
-  for (std::uint64_t n = 1; n <= 3000 && checker.Broken.empty(); ++n) {
+  for (std::uint64_t n = 1; n <= 3000 && checker.Violation.empty(); ++n) {
     now += milliseconds(between(1, 20));
-    const bool isRush = (n / 300) % 2 == 1;
+    const bool isOverloaded = (n / 300) % 2 == 1;
     const int event = between(0, 99);
-    if (event < (isRush ? 70 : 30)) {
+    if (event < (isOverloaded ? 70 : 30)) {
       const int team = std::min(between(0, 9) % 7, 4) % 5;
       const QueuedCall next{n, TeamId(std::to_string(team)),
                             between(0, 19) == 0 ? 9 : 0,
                             static_cast<double>(between(1, 4)),
                             now + milliseconds(between(10, 8000))};
-      checker.arrived(next);
-      take(admission.Arrive(next, now));
+      checker.recordArrival(next);
+      handleActions(admission.Arrive(next, now));
     } else if (event < 95 && !started.empty()) {
       const auto which = static_cast<std::ptrdiff_t>(
           random() % static_cast<std::uint64_t>(started.size()));
       const std::uint64_t id = started[static_cast<std::size_t>(which)];
       started.erase(started.begin() + which);
-      take(admission.Finish(id, now));
+      handleActions(admission.Finish(id, now));
     } else {
-      take(admission.Tick(now));
+      handleActions(admission.Tick(now));
     }
   }
-  return checker.Broken;
+  return checker.Violation;
 }
 
 } // namespace
 
-// A large team sends three times what the service takes. A small team's calls
-// would be late with it, and an alarm would wait behind its chats.
+// A large team sends three times the capacity of the service. Without fair
+// queueing a small team's calls would be late and alarms would wait behind
+// chats.
 BOOST_AUTO_TEST_CASE(randomised_load_is_shared_by_priority_and_weight) {
-  // A hopeless call that was found at its turn had used the turn up, and its
-  // team got less than its share.
-  // A team that had overdrawn its turn and then had nothing left was forgotten
-  // with its debt, and was back with a full quantum.
+  // These seeds found two faults. An expired call found at the front of its
+  // team's queue used up the team's turn, so the team got less than its share.
+  // A team that had overdrawn its quantum and whose queue became empty was
+  // removed together with its debt, so it returned with a full quantum.
   for (const std::uint64_t seed : {1618, 1686, 1743, 99, 195})
-    BOOST_CHECK_EQUAL(runAdmission(seed, product), "");
+    BOOST_CHECK_EQUAL(runAdmission(seed, fairAdmission), "");
   for (std::uint64_t seed = 1; seed <= soakSeeds(20); ++seed)
-    BOOST_CHECK_MESSAGE(runAdmission(seed, product).empty(),
-                        "seed " << seed << ": " << runAdmission(seed, product));
+    BOOST_CHECK_MESSAGE(runAdmission(seed, fairAdmission).empty(),
+                        "seed " << seed << ": "
+                                << runAdmission(seed, fairAdmission));
 }
 
-// The same run with calls served in order of arrival, with and without regard
-// to priority: the checker must see what each breaks.
+// The same run with calls started in order of arrival, with and without
+// priorities. The checker must detect the violations of both.
 BOOST_AUTO_TEST_CASE(randomised_load_served_in_order_is_caught) {
   for (std::uint64_t seed = 1; seed <= soakSeeds(20); ++seed) {
-    BOOST_CHECK(!runAdmission(seed, oneQueue).empty());
-    BOOST_CHECK_EQUAL(runAdmission(seed, queuesByPriority),
-                      "a team that waits gets less than its share");
+    BOOST_CHECK(!runAdmission(seed, singleFifo).empty());
+    BOOST_CHECK_EQUAL(runAdmission(seed, fifoByPriority),
+                      "a waiting team gets less than its share");
   }
 }
 
--- a/Tests/LibDecision/TestAnswerStream.cpp
+++ b/Tests/LibDecision/TestAnswerStream.cpp
@@ -9,7 +9,7 @@
 
 const RequestId Own("own");
 
-/// An answer with tokens "a", "b" of attempt 2; attempt 1 is over.
+/// An answer with the tokens "a" and "b" of attempt 2; attempt 1 is over.
 AnswerStream answerWithTwoTokens() {
   AnswerStream answer(Own);
   answer.beginAttempt();
@@ -71,8 +71,8 @@
 
 BOOST_AUTO_TEST_SUITE(answer_stream)
 
-// A token comes late, twice, from another request's stream, or one was lost
-// before it. Taken as it is, it would garble the caller's text.
+// A token arrives late, twice, from another request's stream or after a lost
+// token. Accepting it would garble the caller's text.
 BOOST_DATA_TEST_CASE(a_token_is_taken_only_where_it_belongs,
                      boost::unit_test::data::make(TokenRows), row) {
   AnswerStream answer = answerWithTwoTokens();
@@ -82,8 +82,8 @@
   BOOST_TEST(textOf(answer) == (isTaken ? "0a1b2c" : "0a1b"));
 }
 
-// A stream breaks off and looks like a finished one. The caller would take half
-// a quote for the whole.
+// A broken stream looks like a finished one. The caller would receive a
+// truncated answer as complete.
 BOOST_DATA_TEST_CASE(an_end_counts_only_with_the_right_length,
                      boost::unit_test::data::make(EndRows), row) {
   AnswerStream answer = answerWithTwoTokens();
@@ -101,8 +101,8 @@
   BOOST_TEST(textOf(answer) == "0a1b2.");
 }
 
-// The caller's connection breaks with events on their way; it comes back with
-// the id of the last one it saw.
+// The caller's connection breaks with events in transit; the caller reconnects
+// with the id of the last event that it received.
 BOOST_AUTO_TEST_CASE(a_reconnect_misses_and_repeats_nothing) {
   AnswerStream answer = answerWithTwoTokens();
   answer.finish({Own, 2, 2});
--- a/Tests/LibDecision/TestCallTicket.cpp
+++ b/Tests/LibDecision/TestCallTicket.cpp
@@ -17,12 +17,12 @@
                                            "ticket:a@b:1:-2",
                                            "ticket:a@b:1:99999999999999999999"};
 
-BOOST_DATA_TEST_CASE(ticket_is_told_from_a_callers_own_key,
+BOOST_DATA_TEST_CASE(ticket_is_distinguished_from_a_callers_own_key,
                      data::make(OtherKeyRows), text) {
   BOOST_CHECK(!parseTicket(IdempotencyKey(text)));
 }
 
-BOOST_AUTO_TEST_CASE(ticket_survives_its_way_through_the_caller) {
+BOOST_AUTO_TEST_CASE(ticket_is_parsed_as_it_was_encoded) {
   const CallTicket ticket{IncarnationId("a1"), "127.0.0.1:80",
                           Instant(hours(5)), 7};
   BOOST_CHECK(parseTicket(ticketKey(ticket)) == ticket);
@@ -56,8 +56,8 @@
   BOOST_TEST(table.isValid(ticket, issued + row.Age) == row.IsValid);
 }
 
-// The host's clock is set back by hours. A ticket that was used up and
-// forgotten would be valid again, and a dispatch would be sent twice.
+// The host's clock is set back by hours. If an expired ticket became valid
+// again after its entry was dropped, the call would run twice.
 BOOST_AUTO_TEST_CASE(ticket_stays_expired_when_the_clock_is_set_back) {
   const Instant issued{hours(10)};
   TicketTable table{IncarnationId("self"), LedgerLimits{}};
--- a/Tests/LibDecision/TestCanaryJudge.cpp
+++ b/Tests/LibDecision/TestCanaryJudge.cpp
@@ -15,7 +15,7 @@
 const EvidenceKey NewQuote{VersionId("new"), RouteId("quote")};
 const EvidenceKey OldQuote{VersionId("old"), RouteId("quote")};
 
-/// Old and new calls of one route, and what the judge must say.
+/// Counts of both versions on one route, and the expected result.
 struct VerdictRow {
   const char *Name;
   EvidenceCount Old;
@@ -75,8 +75,9 @@
   }
 }
 
-// A fault on a route with few calls drowns among the good calls of the others.
-// Callers of that route would meet it until the whole share had moved.
+// A fault on a route with few calls is hidden by the good calls of the other
+// routes, so that callers of that route would see it until the full share had
+// moved.
 BOOST_AUTO_TEST_CASE(finds_a_fault_on_one_quiet_route_and_names_it) {
   EvidencePool pool;
   CanaryJudge judge = makeJudge(pool);
@@ -88,7 +89,7 @@
   BOOST_CHECK_EQUAL(judge.finding().OnRoute.text(), "quote");
 }
 
-// Each host sees a few failures only, too few to be sure of by itself.
+// Each host sees too few failures to find the fault on its own.
 BOOST_AUTO_TEST_CASE(pools_evidence_that_is_split_over_hosts) {
   EvidencePool first;
   EvidencePool second;
@@ -103,8 +104,8 @@
   BOOST_CHECK(pooled.observe(first));
 }
 
-// A version that was good for thousands of calls turns bad. Counted together
-// with the good ones, the bad calls would be hidden for as many calls again.
+// A version turns bad after thousands of good calls. If these counted against
+// the fault, it would take about as many bad calls to find it.
 BOOST_AUTO_TEST_CASE(finds_a_fault_that_comes_late) {
   EvidencePool pool;
   CanaryJudge judge = makeJudge(pool);
@@ -124,10 +125,10 @@
 }
 
 // A zone's reclaim makes both versions late while only a few calls of the route
-// are left on the old one. Calls of another route, which waits at the old
-// version, say nothing of it; counted in, they would end each interval before
-// the old version's lateness had shown, and a good version would be taken back.
-BOOST_AUTO_TEST_CASE(a_bad_hour_is_not_held_against_the_new_version) {
+// still go to the old one. Another route, whose rollout has not begun, has no
+// calls to compare; if its calls counted, they would end each interval before
+// the old version's lateness showed, and a good version would be rolled back.
+BOOST_AUTO_TEST_CASE(lateness_of_both_versions_does_not_fail_the_new_one) {
   EvidencePool pool;
   EvidenceCount old{2000, 20, 100};
   EvidenceCount waiting{2000, 20, 100};
--- a/Tests/LibDecision/TestDeskCallRandomised.cpp
+++ b/Tests/LibDecision/TestDeskCallRandomised.cpp
@@ -11,8 +11,8 @@
 static constexpr int Steps = 600;
 
 static std::uint64_t seedCount() {
-  const char *raised = std::getenv("SORRELBAY_SOAK_SEEDS");
-  return raised ? std::strtoull(raised, nullptr, 10) : FixedSeeds;
+  const char *seedOverride = std::getenv("SORRELBAY_SOAK_SEEDS");
+  return seedOverride ? std::strtoull(seedOverride, nullptr, 10) : FixedSeeds;
 }
 
 static SimulationCounts runSeeds(std::uint64_t count, Omission omission) {
@@ -22,11 +22,11 @@
   return sum;
 }
 
-// Callers repeat bookings at other hosts while earlier attempts are under way,
-// hosts crash, pause and come back at the same address, the object API fails
-// and loses replies after the write, desks refuse, run late or lose answers.
-// A user would notice two crews at the door, or none although told that the
-// booking can safely be made again.
+// Guards against a call that runs twice and against a "not run" answer for a
+// call that ran. Callers repeat calls on other hosts while earlier attempts are
+// running; hosts crash, pause and restart at the same address; the object API
+// fails or loses replies after a write; desks refuse calls, run them late or
+// lose answers.
 BOOST_AUTO_TEST_CASE(desk_calls_randomised_run_at_most_once) {
   const SimulationCounts sum = runSeeds(seedCount(), Omission::None);
   BOOST_TEST_MESSAGE(
@@ -38,7 +38,7 @@
   BOOST_TEST(sum.FalseNotRun == 0);
   BOOST_TEST(sum.Unanswered == 0);
   BOOST_TEST(sum.BrokenInvariants == 0);
-  // A run that refuses everything would hold the promises and be of no use.
+  // Refusing every call would satisfy the checks above.
   BOOST_TEST(sum.Runs > 0);
   BOOST_TEST(sum.Done > 0);
   BOOST_TEST(sum.NotRun > 0);
@@ -69,8 +69,8 @@
     {"closed mark", Omission::ClosedMark, &SimulationCounts::FalseNotRun},
 };
 
-// The same run with one part of the mechanism left out must break a promise,
-// else the checks above prove nothing.
+// Each part of the mechanism is left out in turn; the checks above must then
+// fail.
 BOOST_DATA_TEST_CASE(desk_calls_randomised_find_each_omission,
                      data::make(OmissionRows), row) {
   const SimulationCounts sum = runSeeds(FixedSeeds, row.Omitted);
--- a/Tests/LibDecision/TestHandover.cpp
+++ b/Tests/LibDecision/TestHandover.cpp
@@ -26,8 +26,8 @@
   BOOST_CHECK(parseHandover(encodeHandover(example())) == example());
 }
 
-// A peer of another build, or something that isn't a peer, sends what can't be
-// read. The entry host must go on and tell the other so.
+// A peer of another version, or a program that isn't a peer, sends a malformed
+// message. The parser must report it rather than crash or accept it.
 BOOST_AUTO_TEST_CASE(what_is_not_a_handover_is_refused) {
   const std::vector<std::uint8_t> whole = encodeHandover(example());
   for (std::size_t n = 0; n < whole.size(); ++n)
@@ -39,8 +39,8 @@
                     HandoverRefused);
 }
 
-// A whole zone is reclaimed, entry hosts included: a peer in the same zone
-// would leave with the answer.
+// When a whole zone is reclaimed, its entry hosts leave together: a peer in the
+// same zone could not continue the answer.
 BOOST_AUTO_TEST_CASE(peers_in_other_zones_come_first_and_leaving_ones_never) {
   const std::vector<HandoverPeer> peers = {
       {HostId("a"), ZoneId("z1"), "127.0.0.1:1", false},
--- a/Tests/LibDecision/TestLedgerBucket.cpp
+++ b/Tests/LibDecision/TestLedgerBucket.cpp
@@ -129,9 +129,9 @@
   }
 }
 
-// A day with far more bookings than planned fills a bucket up to the object
-// API's limit. New calls of it are refused as such; what already runs still
-// gets its result recorded, so that a repeat is told the booking's number.
+// Far more calls than planned fill a bucket up to the size limit of the object
+// API. New calls must be refused as LedgerFull, while running calls must still
+// be able to record their results for repeated calls.
 BOOST_AUTO_TEST_CASE(ledger_full_bucket_refuses_and_keeps_room_for_results) {
   LedgerLimits limits;
   LedgerBucket bucket = fillBucket(limits);
@@ -163,8 +163,8 @@
     "", "no bucket", std::string("\x82\x02\x80", 3),
     std::string("\x82\x01\x81\x80", 4)};
 
-// Something else has written the object, or a newer daemon has. Taken for an
-// empty bucket it would let every booking in it run again.
+// Another program or a newer daemon has written the object. If it were treated
+// as an empty bucket, every call in it could run again.
 BOOST_DATA_TEST_CASE(ledger_unreadable_bucket_is_an_outage,
                      data::make(UnreadableRows), body) {
   BOOST_CHECK_THROW(decodeBucket(body), LedgerBucketUnreadable);
@@ -186,7 +186,7 @@
   BOOST_CHECK(updater.next(Start)->What == BucketRequest::Kind::Write);
   updater.onWritten(1);
   BOOST_TEST(updater.takeFinished().size() == 20);
-  // The bucket is known now: the next call costs one write and no read.
+  // The bucket is cached now: the next call needs one write and no read.
   updater.submit(20, makeEdit(Intent, 1, 20, "k20"));
   const auto request = updater.next(Start);
   BOOST_CHECK(request->What == BucketRequest::Kind::Write);
