--- a/Libraries/LibDecision/EngineCommands.cpp
+++ b/Libraries/LibDecision/EngineCommands.cpp
@@ -3,12 +3,12 @@
 
 namespace sorrelbay {
 
-bool EngineCommands::mayOrder(const EngineVersions &engine,
-                              const LeaderLease &lease, Instant now) const {
+bool EngineCommands::mayCommand(const EngineVersions &engine,
+                                const LeaderLease &lease, Instant now) const {
   if (engine.HonoursFencing)
-    return lease.mayOrder(now);
-  const auto underWay = InFlightUntil.find(engine.Engine);
-  if (underWay != InFlightUntil.end() && now <= underWay->second)
+    return lease.mayCommand(now);
+  const auto inFlightUntil = InFlightUntil.find(engine.Engine);
+  if (inFlightUntil != InFlightUntil.end() && now <= inFlightUntil->second)
     return false;
   return lease.mayCommandUnfenced(now) &&
          engine.AskedAt >= lease.unfencedFrom();
@@ -22,10 +22,10 @@
   for (const EngineVersions &it : seen) {
     const auto found = wanted.find(it.Engine);
     if (found == wanted.end() || found->second == it.Versions ||
-        !mayOrder(it, lease, now))
+        !mayCommand(it, lease, now))
       continue;
     verifyInvariant(lease.isHeld(now), "only the lease's holder gives orders",
-                    "an order without the lease");
+                    "a command was sent without holding the lease");
     InFlightUntil[it.Engine] = now + OrderTimeout;
     orders.push_back({it.Engine, found->second, lease.fencing()});
   }
--- a/Libraries/LibDecision/EngineCommands.h
+++ b/Libraries/LibDecision/EngineCommands.h
@@ -10,46 +10,48 @@
 
 namespace sorrelbay {
 
-/// The versions that an engine holds, as it said itself.
+/// The versions that an engine holds, as reported by the engine.
 struct EngineVersions {
   UpstreamId Engine;
   std::set<VersionId> Versions;
-  /// Whether it refuses orders with an old fencing number.
+  /// Whether the engine rejects commands with an old fencing token.
   bool HonoursFencing = false;
-  /// When it was asked.
+  /// When the engine was queried.
   Instant AskedAt;
 };
 
-/// To hold exactly these versions. Orders name the wanted state and not the
-/// step to it, so that one that is lost, late or sent twice does no harm that
-/// the next does not mend.
+/// Tells an engine to hold exactly these versions. A command states the desired
+/// state, not the change, so that the next command corrects one that was lost,
+/// delayed or duplicated.
 struct EngineCommand {
   UpstreamId Engine;
   std::set<VersionId> Versions;
   std::uint64_t FencingToken = 0;
 };
 
-/// The orders by which engines come to hold what they should.
+/// Computes the commands that bring engines to their desired versions.
 class EngineCommands {
 public:
-  /// An order that has not reached its engine by the timeout never does.
+  /// A command that has not reached its engine within `orderTimeout` never
+  /// will.
   explicit EngineCommands(Duration orderTimeout) : OrderTimeout(orderTimeout) {}
 
-  /// The orders to give now. Engines that are not named in what is wanted are
-  /// left alone. None without the lease; to engines that take any fencing
-  /// number only after they were read back in this term, since what was ordered
-  /// before shows only there, and none while an earlier one may be under way,
-  /// since the two could arrive in the wrong order.
+  /// Returns the commands to send now, or none if this daemon does not hold the
+  /// lease. Engines missing from `wanted` are left alone. An engine that does
+  /// not check fencing tokens gets a command only if its versions were read
+  /// during this lease term, since only the engine knows the effect of earlier
+  /// commands. It gets none while an earlier command is in flight, because the
+  /// two could arrive in reverse order.
   std::vector<EngineCommand>
   decide(const std::map<UpstreamId, std::set<VersionId>> &wanted,
          const std::vector<EngineVersions> &seen, const LeaderLease &lease,
          Instant now);
-  /// The engine has answered its last order.
+  /// The engine has answered its last command.
   void noteAnswered(const UpstreamId &engine) { InFlightUntil.erase(engine); }
 
 private:
-  bool mayOrder(const EngineVersions &engine, const LeaderLease &lease,
-                Instant now) const;
+  bool mayCommand(const EngineVersions &engine, const LeaderLease &lease,
+                  Instant now) const;
 
   Duration OrderTimeout;
   std::map<UpstreamId, Instant> InFlightUntil;
--- a/Libraries/LibDecision/HostMix.cpp
+++ b/Libraries/LibDecision/HostMix.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-// More levels than this are not tried; a large fleet's mix is then found to
-// within a part in so many.
+// Upper bound on the number of levels tried. The mix for a large fleet is then
+// optimal to within 1/MaxLevels of the capacity.
 constexpr int MaxLevels = 200;
-// Absorbs the rounding of sums of capacities.
+// Tolerance for rounding errors in sums of capacities.
 constexpr double Tolerance = 1e-9;
 
 double capacityOf(const HostMix &mix, bool isReclaimable) {
@@ -23,10 +23,10 @@
   return sum;
 }
 
-/// Takes reclaimable hosts, the cheapest first, up to the level in each zone,
-/// until the capacity would outlast the loss of a zone.
+/// Adds reclaimable hosts, cheapest first, with at most `level` capacity per
+/// zone, until the capacity survives the loss of any one zone.
 HostMix fillZones(const std::vector<HostOffer> &reclaimable, double level,
-                  double capacity, double mostReclaimable) {
+                  double capacity, double maxReclaimable) {
   HostMix mix;
   std::map<ZoneId, double> zones;
   double largest = 0;
@@ -36,7 +36,7 @@
     int hosts = 0;
     while (hosts < it.MaxHosts && sum - largest < capacity - Tolerance &&
            zone + it.Capacity <= level + Tolerance &&
-           sum + it.Capacity <= mostReclaimable + Tolerance) {
+           sum + it.Capacity <= maxReclaimable + Tolerance) {
       ++hosts;
       zone += it.Capacity;
       sum += it.Capacity;
@@ -48,8 +48,8 @@
   return mix;
 }
 
-/// Adds on-demand hosts, the cheapest first, until the capacity outlasts the
-/// loss of a zone.
+/// Adds on-demand hosts, cheapest first, until the capacity survives the loss
+/// of any one zone. Returns false if the offers do not suffice.
 bool completeOnDemand(HostMix &mix, const std::vector<HostOffer> &onDemand,
                       double capacity) {
   double missing = capacity - capacityAfterZoneLoss(mix);
@@ -67,7 +67,7 @@
   return missing <= Tolerance;
 }
 
-/// Takes out reclaimable hosts that aren't needed, the dearest first.
+/// Removes reclaimable hosts that are not needed, most expensive first.
 void trim(HostMix &mix, double capacity) {
   for (auto it = mix.rbegin(); it != mix.rend(); ++it)
     while (it->Hosts > 0) {
@@ -115,8 +115,8 @@
   return capacityOf(mix, false) + capacityOf(mix, true) - largest;
 }
 
-// For each level that a zone's reclaimable capacity may reach the rest follows:
-// fill the zones up to it, complete with on-demand hosts.
+// Tries each level that the reclaimable capacity of a zone may reach: fills the
+// zones up to the level, then adds on-demand hosts for the rest.
 HostMix cheapestMix(const std::vector<HostOffer> &offers, double capacity,
                     double reclaimableShare) {
   const std::vector<HostOffer> reclaimable = byCost(offers, true);
@@ -139,10 +139,11 @@
   }
   if (best) {
     verifyInvariant(capacityAfterZoneLoss(*best) >= capacity - 2 * Tolerance,
-                    "a mix outlasts the loss of a zone", "it does not");
+                    "a mix outlasts the loss of a zone",
+                    "the capacity after a zone loss is too low");
     return *best;
   }
-  // What there is, for want of better.
+  // No mix suffices: use the offered hosts up to the capacity before a loss.
   HostMix all = fillZones(reclaimable, capacity, 2 * capacity, capacity);
   completeOnDemand(all, onDemand, capacity);
   return all;
--- a/Libraries/LibDecision/HostMix.h
+++ b/Libraries/LibDecision/HostMix.h
@@ -8,23 +8,23 @@
 
 namespace sorrelbay {
 
-/// A machine class as the cloud names it.
+/// A machine class as the cloud provider names it.
 using MachineClass = Identifier<struct MachineClassTag>;
 
-/// What the cloud offers: hosts of one class in one zone at one price.
+/// An offer of the cloud: hosts of one class in one zone at one price.
 struct HostOffer {
   ZoneId InZone;
   MachineClass OfClass;
-  /// The cloud may take the host back on short notice.
+  /// Whether the cloud may reclaim the host at short notice.
   bool IsReclaimable = true;
-  /// Micro-units of money.
+  /// In micro-units of the currency.
   std::int64_t HourlyCost = 0;
-  /// Replicas' worth of work that the host carries within the latency target.
+  /// The load that the host serves within the latency target, in replicas.
   double Capacity = 1;
-  /// The most hosts that can be had of it.
+  /// The maximum number of hosts available from this offer.
   int MaxHosts = std::numeric_limits<int>::max();
 
-  /// Whether both name the same thing to buy, at whatever price.
+  /// Whether both offers are for the same kind of host, regardless of price.
   bool isSameAs(const HostOffer &other) const {
     return std::tie(InZone, OfClass, IsReclaimable) ==
            std::tie(other.InZone, other.OfClass, other.IsReclaimable);
@@ -34,7 +34,7 @@
   }
 };
 
-/// So many hosts of an offer.
+/// A number of hosts from one offer.
 struct HostCount {
   HostOffer Offer;
   int Hosts = 0;
@@ -42,16 +42,16 @@
 
 using HostMix = std::vector<HostCount>;
 
-/// What a mix costs an hour, in micro-units.
+/// The cost of the mix per hour, in micro-units of the currency.
 std::int64_t costOf(const HostMix &mix);
-/// The capacity that is left when the one zone whose reclaimable hosts carry
-/// most loses all of them.
+/// The capacity left after the zone with the largest reclaimable capacity loses
+/// all its reclaimable hosts.
 double capacityAfterZoneLoss(const HostMix &mix);
 
-/// The cheapest mix of the offers that still has the capacity when any one zone
-/// loses its reclaimable hosts, with at most that share of it on reclaimable
-/// ones. If no mix can do that, what there is, up to the capacity before a
-/// loss.
+/// Returns the cheapest mix that still has `capacity` after any one zone loses
+/// its reclaimable hosts. Reclaimable hosts provide at most `reclaimableShare`
+/// of the capacity. If no mix meets this, returns the offered hosts up to
+/// `capacity` before a loss.
 HostMix cheapestMix(const std::vector<HostOffer> &offers, double capacity,
                     double reclaimableShare);
 
--- a/Libraries/LibDecision/HostPlan.cpp
+++ b/Libraries/LibDecision/HostPlan.cpp
@@ -13,7 +13,7 @@
   unsigned slot = 0;
   unsigned replacement = 0;
   char rest = 0;
-  // Nothing may follow the third number.
+  // The `%c` rejects text after the third number.
   // NOLINTNEXTLINE(bugprone-unchecked-string-to-number-conversion,cert-err34-c)
   if (std::sscanf(text.c_str(), "%llu-%u-%u%c", &generation, &slot,
                   &replacement, &rest) != 3)
--- a/Libraries/LibDecision/HostPlan.h
+++ b/Libraries/LibDecision/HostPlan.h
@@ -10,9 +10,10 @@
 
 namespace sorrelbay {
 
-/// Names one order to the cloud, whoever gives it and however often: the cloud
-/// answers a token that it knows with the host that it made for it. So two
-/// movers, or one whose reply was lost, can't buy twice.
+/// Identifies one create request to the cloud, regardless of the sender and the
+/// number of attempts. The cloud answers a known token with the host that it
+/// created for it, so neither two concurrent planners nor a retry after a lost
+/// reply create a second host.
 struct ClientToken {
   std::uint64_t Generation = 0;
   std::uint32_t Slot = 0;
@@ -28,37 +29,38 @@
   }
 };
 
-/// "generation-slot-replacement", as the cloud API gets it.
+/// Returns "generation-slot-replacement", the form used in the cloud API.
 std::string renderToken(const ClientToken &token);
-/// The inverse; false if the text is none of ours.
+/// Parses the text form. Returns false if the text is not a token of this
+/// system.
 bool parseToken(const std::string &text, ClientToken &token);
 
-/// One host that is wanted, or was. A slot that is no longer wanted stays with
-/// its number, since a token that is used again would name a host of the past.
+/// A host that is or was wanted. The slot of a retired host keeps its number,
+/// since a token that is used twice would refer to the earlier host.
 struct Slot {
   ClientToken Token;
   HostOffer From;
   bool IsWanted = true;
-  /// When it ceased to be wanted.
+  /// When the slot was retired.
   Instant RetiredAt{};
 };
 
-/// What the movers have decided to have. Kept in one object of the object API
-/// and only changed by conditional update, before any order follows from it.
+/// The planned hosts. Stored in one object of the object API and changed only
+/// by conditional update, before any order based on it is sent.
 struct HostPlan {
   std::vector<Slot> Slots;
 };
 
 enum class CloudHostState { Starting, Live, Leaving, Gone };
 
-/// A host as the cloud's list shows it; the list may lag.
+/// A host in the cloud's host list, which may lag.
 struct CloudHost {
   std::string Id;
   ClientToken Token;
   CloudHostState State = CloudHostState::Live;
 };
 
-/// The hosts that the plan wants, as a mix.
+/// The wanted hosts of the plan as a mix.
 HostMix mixOf(const HostPlan &plan);
 
 } // namespace sorrelbay
--- a/Libraries/LibDecision/HostPlanner.cpp
+++ b/Libraries/LibDecision/HostPlanner.cpp
@@ -26,9 +26,9 @@
   return 0;
 }
 
-/// The plan's wanted slots, but for those left out.
-HostPlan onlyIf(const HostPlan &plan,
-                const std::function<bool(const Slot &)> &holds) {
+/// The wanted slots of the plan for which the predicate holds.
+HostPlan filterWanted(const HostPlan &plan,
+                      const std::function<bool(const Slot &)> &holds) {
   HostPlan out;
   for (const Slot &it : plan.Slots)
     if (it.IsWanted && holds(it))
@@ -36,8 +36,8 @@
   return out;
 }
 
-/// Prices move; a slot is worth what it costs now.
-void takePrices(HostPlan &plan, const std::vector<HostOffer> &offers) {
+/// Updates the prices of the slots to those of the current offers.
+void updatePrices(HostPlan &plan, const std::vector<HostOffer> &offers) {
   for (Slot &slot : plan.Slots)
     for (const HostOffer &it : offers)
       if (it.isSameAs(slot.From))
@@ -49,9 +49,10 @@
   slot.RetiredAt = now;
 }
 
-/// The next token of a slot whose host is gone for good, or of a new slot. A
-/// token is never wanted again once it was not, so that orders from an old
-/// look can't bring back or take away what is wanted now.
+/// Returns a slot with a new token: one whose host is gone for good, or an
+/// added one. A token that was retired is never wanted again, so that orders
+/// based on an outdated plan can neither create nor delete a host that is
+/// wanted now.
 Slot &freeSlot(HostPlan &plan, const HostPlannerInput &view) {
   for (Slot &it : plan.Slots) {
     const CloudHost *host = it.IsWanted ? nullptr : hostOf(it, view.Hosts);
@@ -105,10 +106,10 @@
 std::vector<HostOffer> HostPlanner::offersFor(const HostPlan &plan,
                                               const HostPlannerInput &view,
                                               Instant now) const {
-  const HostPlan held = onlyIf(
+  const HostPlan held = filterWanted(
       plan, [&](const Slot &it) { return hostOf(it, view.Hosts) != nullptr; });
   const HostMix heldMix = mixOf(held);
-  // Near the deadline a second reclaimable offer may be refused like the first.
+  // Near the deadline, do not risk a second refusal of a reclaimable offer.
   const bool isOnDemandOnly = !Refusals.empty() && isUrgent(plan, view, now);
   std::vector<HostOffer> out;
   for (HostOffer it : view.Offers) {
@@ -128,8 +129,8 @@
     const bool isLost =
         host != nullptr && (host->State == CloudHostState::Leaving ||
                             host->State == CloudHostState::Gone);
-    const bool isHopeless = host == nullptr && isRefused(slot.From);
-    if (!isLost && !isHopeless)
+    const bool isUnobtainable = host == nullptr && isRefused(slot.From);
+    if (!isLost && !isUnobtainable)
       continue;
     retire(slot, now);
     decision.HasChanged = true;
@@ -147,8 +148,9 @@
     }
 }
 
-// A host is given up only while those that serve now do without it, so that a
-// cheaper mix first stands and then replaces the old one.
+// A host is retired only if the other serving hosts have enough capacity
+// without it. A cheaper mix must therefore be up before it replaces the old
+// one.
 void HostPlanner::retireSurplus(HostPlannerDecision &decision,
                                 const HostMix &wanted,
                                 const HostPlannerInput &view,
@@ -165,9 +167,10 @@
       --place->Hosts;
       continue;
     }
-    const HostMix without = mixOf(onlyIf(decision.Plan, [&](const Slot &it) {
-      return &it != &slot && isServing(it, view.Hosts);
-    }));
+    const HostMix without =
+        mixOf(filterWanted(decision.Plan, [&](const Slot &it) {
+          return &it != &slot && isServing(it, view.Hosts);
+        }));
     if (capacityAfterZoneLoss(without) < view.Capacity)
       continue;
     retire(slot, now);
@@ -203,7 +206,7 @@
       Refusals.end());
   HostPlannerDecision decision;
   decision.Plan = plan;
-  takePrices(decision.Plan, view.Offers);
+  updatePrices(decision.Plan, view.Offers);
   retireLost(decision, view, now);
   const HostMix wanted = cheapestMix(offersFor(decision.Plan, view, now),
                                      view.Capacity, Settings.ReclaimableShare);
--- a/Libraries/LibDecision/HostPlanner.h
+++ b/Libraries/LibDecision/HostPlanner.h
@@ -9,15 +9,15 @@
 
 namespace sorrelbay {
 
-/// What the mover sees when it decides.
+/// The state that the planner bases its decision on.
 struct HostPlannerInput {
   /// The generation of the bundle in force.
   std::uint64_t Generation = 0;
   std::vector<HostOffer> Offers;
   std::vector<CloudHost> Hosts;
-  /// Replicas' worth of work that must be carried after the loss of a zone.
+  /// The load that must be served after the loss of a zone, in replicas.
   double Capacity = 0;
-  /// When that capacity must be there; the epoch for at once.
+  /// When the capacity is needed. The epoch means at once.
   Instant Deadline{};
 };
 
@@ -27,33 +27,35 @@
 };
 
 struct HostPlannerSettings {
-  /// From an order to a host that serves.
+  /// Time from the create request until the host serves.
   Duration StartTime = minutes(3);
-  /// How long an offer that was refused is passed over.
+  /// How long an offer is skipped after the cloud refused to start a host from
+  /// it.
   Duration RefusalPause = minutes(5);
-  /// A mix that does is kept until another costs less by this share.
+  /// The current mix is kept unless another costs less by this share.
   double MinSavingShare = 0.1;
-  /// How long a host that is no longer wanted works off what it has.
+  /// How long a retired host is kept to finish its calls before it is deleted.
   Duration DrainTime = minutes(2);
-  /// The highest share of the capacity on reclaimable hosts.
+  /// The maximum share of the capacity on reclaimable hosts.
   double ReclaimableShare = 1;
 };
 
-/// What follows from one look.
+/// The result of one planning round.
 struct HostPlannerDecision {
   HostPlan Plan;
-  /// Whether the plan differs from the one given; it must then be stored before
-  /// the orders are carried out, and if another mover's was stored meanwhile
-  /// they must not be.
+  /// Whether the plan differs from the previous one. A changed plan must be
+  /// stored before the orders are sent. If another daemon has stored a plan in
+  /// the meantime, the orders must be discarded.
   bool HasChanged = false;
   std::vector<CreateOrder> Creates;
-  /// Ids of hosts to be deleted.
+  /// Ids of the hosts to delete.
   std::vector<std::string> Deletes;
 };
 
-/// Decides what hosts to have and what to order. Every look starts from the
-/// stored plan and the cloud's list, not from what was ordered before, so that
-/// a lost reply, a refused start and a change of movers need nothing special.
+/// Plans which hosts to run and what to order from the cloud. Each round starts
+/// from the stored plan and the cloud's host list rather than from earlier
+/// orders, so that a lost reply, a refused start or a change of the lease
+/// holder needs no special handling.
 class HostPlanner {
 public:
   explicit HostPlanner(HostPlannerSettings settings = {})
@@ -61,7 +63,7 @@
 
   HostPlannerDecision decide(const HostPlan &plan, const HostPlannerInput &view,
                              Instant now);
-  /// The cloud refused to start a host of that offer.
+  /// Records that the cloud refused to start a host from the offer.
   void noteRefused(const HostOffer &offer, Instant now);
 
 private:
@@ -73,7 +75,7 @@
   bool isRefused(const HostOffer &offer) const;
   bool isUrgent(const HostPlan &plan, const HostPlannerInput &view,
                 Instant now) const;
-  /// The offers with how many hosts each can still bring.
+  /// The offers, each with the number of hosts that may still be used from it.
   std::vector<HostOffer> offersFor(const HostPlan &plan,
                                    const HostPlannerInput &view,
                                    Instant now) const;
--- a/Libraries/LibDecision/LeaderLease.cpp
+++ b/Libraries/LibDecision/LeaderLease.cpp
@@ -3,7 +3,7 @@
 
 namespace sorrelbay {
 
-// A lease is read, or renewed, so many times in a term.
+// How often a lease is read or renewed per term.
 static constexpr int ReadsPerTerm = 3;
 
 LeaderLease::LeaderLease(IncarnationId self, LeaderLeaseSettings settings)
@@ -33,7 +33,7 @@
 }
 
 void LeaderLease::noteRead(const LeaseState &state, Instant now) {
-  // One's own write whose reply was lost.
+  // This daemon's own write, whose reply was lost.
   if (state.Holder == Self && state.Version == Seen.Version + 1 &&
       UnknownSentAt != Instant{}) {
     noteWritten(state.Version, UnknownSentAt, now);
--- a/Libraries/LibDecision/LeaderLease.h
+++ b/Libraries/LibDecision/LeaderLease.h
@@ -6,31 +6,32 @@
 
 namespace sorrelbay {
 
-/// The lease as the object API holds it; the object's version is the fencing
-/// number.
+/// The lease as stored in the object API. The object's version is the fencing
+/// token.
 struct LeaseState {
   IncarnationId Holder;
-  /// 0 if there never was a lease.
+  /// 0 if the lease has never been written.
   std::uint64_t Version = 0;
 };
 
 struct LeaderLeaseSettings {
   Duration Term = seconds(10);
-  /// An order that has not reached its engine by then never does.
+  /// A command that has not reached its engine within this time never will.
   Duration OrderTimeout = seconds(5);
-  /// The part of the term that a holder leaves unused, against clocks that run
-  /// at different speeds.
+  /// The share of the term that the holder does not use, to allow for clocks
+  /// that run at different speeds.
   double Margin = 0.1;
 };
 
-/// What to do about the lease now.
+/// What to do next about the lease.
 enum class LeaseStep { None, Read, Write };
 
-/// One daemon's side of the mover lease. There is no clock in common: a lease
-/// that is not one's own has ended when it was seen unchanged for a whole term.
-/// The holder counts its term from before it sent the write, so it stops before
-/// anybody else starts. It is for efficiency and for the orders that can't be
-/// made idempotent, not for what must never happen twice.
+/// One daemon's view of the leader lease. The daemons' clocks are not
+/// synchronised: another daemon's lease has expired once it was seen unchanged
+/// for a whole term. The holder counts its term from before it sent the write,
+/// so it stops before another daemon can start. The lease saves duplicate work
+/// and guards commands that cannot be made idempotent. It does not guarantee
+/// mutual exclusion.
 class LeaderLease {
 public:
   LeaderLease(IncarnationId self, LeaderLeaseSettings settings = {});
@@ -41,31 +42,31 @@
 
   /// The stored lease was read.
   void noteRead(const LeaseState &state, Instant now);
-  /// The holder of the stored lease is an earlier process of this host and
-  /// holds it no more: there is no term to wait for.
+  /// The holder of the stored lease is an earlier process of this host that no
+  /// longer uses it. There is no need to wait for the end of its term.
   void noteReleased();
-  /// The holder has reported that it wrote that version. From now on it counts
-  /// as seen: a term has not to be waited for anew when the holder goes, or
-  /// when the store was away. A write still expects that version, so that one
-  /// which was renewed meanwhile isn't taken.
+  /// The holder reported that it wrote this version. It counts as seen from now
+  /// on, so that no further term must pass when the holder fails or after an
+  /// outage of the store. A write still expects this version, so it cannot
+  /// replace a lease that was renewed in the meantime.
   void noteReported(const LeaseState &state, Instant now);
-  /// The write that was sent then took effect as that version.
+  /// The write sent at `sentAt` succeeded and created `version`.
   void noteWritten(std::uint64_t version, Instant sentAt, Instant now);
-  /// Somebody else wrote first.
+  /// Another daemon wrote the lease first.
   void noteConflict(Instant now);
-  /// It isn't known whether the write that was sent then took effect.
+  /// The outcome of the write sent at `sentAt` is unknown.
   void noteUnknown(Instant sentAt, Instant now);
 
   bool isHeld(Instant now) const;
-  /// The fencing number for orders.
+  /// The fencing token for commands.
   std::uint64_t fencing() const { return Seen.Version; }
-  /// Whether orders may go to engines that refuse old fencing numbers.
-  bool mayOrder(Instant now) const { return isHeld(now); }
-  /// Whether orders may go to engines that take any. A new holder first waits
-  /// out the longest time that an order of the last one may still be under way;
-  /// it would undo the new one's.
+  /// Whether commands may be sent to engines that reject old fencing tokens.
+  bool mayCommand(Instant now) const { return isHeld(now); }
+  /// Whether commands may be sent to engines that do not check fencing tokens.
+  /// A new holder first waits until no command of the previous holder can be in
+  /// flight, since it would undo the new holder's command.
   bool mayCommandUnfenced(Instant now) const;
-  /// From when on what engines say of their levels counts as read back.
+  /// The versions that an engine reports count as read back from this time on.
   Instant unfencedFrom() const { return UnfencedFrom; }
 
 private:
@@ -74,7 +75,8 @@
   IncarnationId Self;
   LeaderLeaseSettings Settings;
   LeaseState Seen;
-  /// Nobody holds the lease of that version; 0 is before there was one.
+  /// The version of the lease that was released; 0 is the version before the
+  /// first write.
   std::uint64_t ReleasedVersion = 0;
   bool HasRead = false;
   bool MustRead = true;
@@ -83,7 +85,7 @@
   Instant HeldUntil{};
   Instant RenewAt{};
   Instant UnfencedFrom{};
-  /// When the write whose outcome isn't known was sent.
+  /// When the write whose outcome is unknown was sent.
   Instant UnknownSentAt{};
 };
 
--- a/Libraries/LibDecision/LeavingUpstreams.cpp
+++ b/Libraries/LibDecision/LeavingUpstreams.cpp
@@ -15,11 +15,11 @@
 }
 
 void LeavingUpstreams::notePeerAnswered(Instant askedAt) {
-  PeerHeardAt = std::max(PeerHeardAt, askedAt);
+  PeerAnsweredAt = std::max(PeerAnsweredAt, askedAt);
 }
 
-// A thread that answers a call may run before the one that ticks once the
-// daemon is resumed; so the gap up to now counts, too.
+// After a pause, a thread that handles a call may run before the ticking thread
+// does. The time since the last tick therefore counts as a gap, too.
 Instant LeavingUpstreams::resumedAt(Instant now) const {
   return now - LastTick > Settings.MaxTickGap ? now : ResumedAt;
 }
@@ -45,7 +45,8 @@
 
 bool LeavingUpstreams::isViewFresh(Instant now) const {
   const Instant resumed = resumedAt(now);
-  return PeerHeardAt >= resumed || now >= resumed + Settings.PeerAnswerTimeout;
+  return PeerAnsweredAt >= resumed ||
+         now >= resumed + Settings.PeerAnswerTimeout;
 }
 
 NewWork LeavingUpstreams::newWorkFor(const UpstreamId &upstream,
--- a/Libraries/LibDecision/LeavingUpstreams.h
+++ b/Libraries/LibDecision/LeavingUpstreams.h
@@ -9,11 +9,11 @@
 
 namespace sorrelbay {
 
-/// That an upstream leaves, from whichever source: host list, notice, the
-/// upstream's own load report or a peer.
+/// Reports that an upstream is leaving. The source is the host list, a reclaim
+/// notice, the upstream's load report or a peer.
 struct LeavingNotice {
   UpstreamId Upstream;
-  /// When its host is taken away.
+  /// When its host is reclaimed.
   Instant GoneAt;
 
   friend bool operator==(const LeavingNotice &a, const LeavingNotice &b) {
@@ -21,58 +21,62 @@
   }
 };
 
-/// Whether an upstream may be given new work.
+/// Whether new calls may be sent to an upstream.
 enum class NewWork {
   Allowed,
-  /// It is leaving.
+  /// The upstream is leaving.
   Refused,
-  /// It has not said for a while that it stays: ask it first.
+  /// The upstream's last confirmation that it stays has expired. Query the
+  /// upstream first.
   AskUpstream,
-  /// This daemon was paused and has not heard since what its peers know: ask
-  /// them first, or give the call to one of them.
+  /// This daemon was paused and has had no answer from its peers since. Query
+  /// the peers first, or hand the call over to one of them.
   AskPeers,
 };
 
 struct LeavingSettings {
-  /// How long an upstream's word that it stays is good for.
+  /// How long an upstream's confirmation that it stays is valid. The upstream
+  /// must be queried again after that.
   Duration StayConfirmationLifetime = seconds(3);
-  /// A gap between two ticks above this means that the daemon was paused.
+  /// A longer gap between two ticks means that the daemon was paused.
   Duration MaxTickGap = seconds(1);
-  /// After a pause, how long a peer's answer is waited for at most; with all of
-  /// them down the upstream's own word has to do. Zero without peers.
+  /// The maximum wait for the answer of a peer after a pause. After that, the
+  /// upstream's own confirmation suffices. Zero if there are no peers.
   Duration PeerAnswerTimeout = seconds(3);
-  /// How long a notice is kept after the host should be gone, since the host
-  /// list lags and would show the upstream as live.
+  /// How long a notice is kept after the host is gone. The host list lags and
+  /// would still show the upstream as live.
   Duration RetentionAfterGone = minutes(2);
 };
 
-/// Which upstreams leave. Every source only ever adds to it, so that a late,
-/// repeated or lost message from one can't undo another's; an
-/// entry ends by its expiry alone. Not thread-safe.
+/// The set of leaving upstreams. Sources only add notices, so a late, repeated
+/// or lost message from one source cannot undo a notice from another. Notices
+/// are removed only when they expire. Not thread-safe.
 class LeavingUpstreams {
 public:
   explicit LeavingUpstreams(LeavingSettings settings = {})
       : Settings(settings) {}
 
-  /// Takes in a notice from any source. Of several about one upstream the
-  /// latest end counts.
+  /// Adds a notice from any source. Of several notices for one upstream, the
+  /// one with the latest GoneAt counts.
   void noteLeaving(const LeavingNotice &notice);
-  /// The upstream said that it stays, in answer to a request that was sent at
-  /// that time. The time of sending counts: an answer that lay in a socket
-  /// while the daemon was paused tells of before the pause.
+  /// Records that the upstream confirmed that it stays, in answer to a query
+  /// sent at `askedAt`. The time of the query counts, because an answer that
+  /// was buffered in a socket while the daemon was paused describes the state
+  /// before the pause.
   void noteStayConfirmed(const UpstreamId &upstream, Instant askedAt);
-  /// A peer whose own view is fresh has sent all its notices, in answer to a
-  /// request that was sent at that time. The host list does not do: it lags.
+  /// Records that a peer with a fresh view has sent all its notices, in answer
+  /// to a query sent at `askedAt`. The host list is no substitute because it
+  /// lags.
   void notePeerAnswered(Instant askedAt);
-  /// To be called several times within the pause limit.
+  /// Must be called several times within MaxTickGap.
   void noteTick(Instant now);
 
   bool isLeaving(const UpstreamId &upstream, Instant now) const;
-  /// Whether this daemon has heard its peers since it was last paused. One
-  /// that hasn't must say so when a peer asks it for its notices.
+  /// Whether a peer has answered this daemon since its last pause. A daemon
+  /// without a fresh view must say so when a peer queries its notices.
   bool isViewFresh(Instant now) const;
   NewWork newWorkFor(const UpstreamId &upstream, Instant now) const;
-  /// All notices that have not expired, for peers.
+  /// All notices that have not expired, to be sent to peers.
   std::vector<LeavingNotice> notices(Instant now) const;
 
 private:
@@ -81,9 +85,9 @@
   LeavingSettings Settings;
   std::map<UpstreamId, Instant> GoneAt;
   std::unordered_map<UpstreamId, Instant> StayConfirmedAt;
-  Instant PeerHeardAt{};
+  Instant PeerAnsweredAt{};
   Instant LastTick{};
-  /// The end of the last pause; a start counts as one.
+  /// The end of the last pause. The start of the daemon counts as one.
   Instant ResumedAt{};
 };
 
--- a/Libraries/LibDecision/PeerChoice.cpp
+++ b/Libraries/LibDecision/PeerChoice.cpp
@@ -11,9 +11,9 @@
   return stableHash(other, stableHash(self.text()));
 }
 
-const HostId &nextInOrder(const HostId &self,
-                          const std::vector<PeerCandidate> &others) {
-  // Ids after the own one come first, then the lowest of all.
+const HostId &nextById(const HostId &self,
+                       const std::vector<PeerCandidate> &others) {
+  // Ids after this daemon's own come first, then the lowest ones.
   const auto comesBefore = [&self](const PeerCandidate &a,
                                    const PeerCandidate &b) {
     const bool aIsAfter = self < a.Host;
@@ -23,8 +23,8 @@
   return std::min_element(others.begin(), others.end(), comesBefore)->Host;
 }
 
-/// The candidates of each zone, the zones and the candidates in the order of
-/// their weights for this daemon.
+/// The candidates grouped by zone. Zones and candidates are ordered by their
+/// weights for this daemon.
 std::vector<std::vector<HostId>>
 rankByZone(const HostId &self, const std::vector<PeerCandidate> &others) {
   std::map<ZoneId, std::vector<HostId>> zones;
@@ -56,7 +56,7 @@
       chosen.push_back(it.Host);
     return chosen;
   }
-  chosen.push_back(nextInOrder(self, others));
+  chosen.push_back(nextById(self, others));
   const std::vector<std::vector<HostId>> zones = rankByZone(self, others);
   for (std::size_t round = 0; chosen.size() < SelectedPeerCount; ++round)
     for (const std::vector<HostId> &hosts : zones)
--- a/Libraries/LibDecision/PeerChoice.h
+++ b/Libraries/LibDecision/PeerChoice.h
@@ -5,23 +5,23 @@
 
 namespace sorrelbay {
 
-/// A daemon that another may keep a connection to.
+/// A daemon that peers may connect to.
 struct PeerCandidate {
   HostId Host;
   ZoneId Zone;
 };
 
-/// Up to so many daemons all keep connections to all.
+/// Up to this number of daemons, each is connected to all others.
 constexpr std::size_t FullMeshLimit = 16;
-/// Beyond it each chooses so many; connections go both ways, so that a daemon
-/// has about twice as many.
+/// In a larger fleet, each daemon selects this many peers. Connections are
+/// bidirectional, so a daemon has about twice as many of them.
 constexpr std::size_t SelectedPeerCount = 8;
 
-/// The peers that a daemon keeps connections to, out of all others. Beyond the
-/// full mesh, the first one is the next in the order of ids, which alone ties
-/// all daemons together; the rest are spread over the zones by rendezvous
-/// hashing, so that few hops reach all and a daemon that comes or goes changes
-/// few choices.
+/// Returns the peers that a daemon connects to. Above FullMeshLimit, the first
+/// one is the next daemon by id, which by itself makes the graph connected. The
+/// others are spread over the zones by rendezvous hashing, so that messages
+/// reach all daemons in few hops and few selections change when a daemon joins
+/// or leaves.
 std::vector<HostId> choosePeers(const HostId &self,
                                 const std::vector<PeerCandidate> &others);
 
--- a/Libraries/LibDecision/PeerFreshness.h
+++ b/Libraries/LibDecision/PeerFreshness.h
@@ -6,22 +6,22 @@
 
 namespace sorrelbay {
 
-/// How old a daemon's knowledge may be. Each question to a peer carries the
-/// time at which it was asked, and the answer repeats it; what counts is that
-/// time. A daemon that was paused finds old messages in its sockets when it
-/// goes on, and taking these for news it would act on a state from before the
-/// pause.
+/// Tracks the age of a daemon's knowledge. Each query to a peer carries the
+/// time at which it was sent, and the answer repeats it. Only that time counts:
+/// a daemon that was paused finds old messages in its sockets, and using them
+/// as current would make it act on the state before the pause.
 class PeerFreshness {
 public:
-  /// The peer has answered a question asked at that time.
+  /// The peer has answered a query sent at `askedAt`.
   void answered(const HostId &peer, Instant askedAt);
 
-  /// The peer has left; it is not waited for.
+  /// The peer has left and is no longer waited for.
   void forget(const HostId &peer);
 
-  /// The time up to which more than half of the peers have sent all they knew;
-  /// the epoch if too few ever answered. Half and not one, because two daemons
-  /// that were paused together would else assure each other.
+  /// The time up to which more than half of the peers have sent all that they
+  /// knew, or the epoch if too few have ever answered. A majority is needed,
+  /// because two daemons that were paused together would otherwise confirm each
+  /// other's stale state.
   Instant knownUntil(std::size_t peers) const;
 
 private:
--- a/Libraries/LibDecision/PeerKnowledge.cpp
+++ b/Libraries/LibDecision/PeerKnowledge.cpp
@@ -5,9 +5,9 @@
 namespace sorrelbay {
 
 bool operator<(const BundleMark &a, const BundleMark &b) {
-  // Two operators may have signed different bundles under one generation. The
-  // object API commits only one, but the order must be total all the same, or
-  // two daemons could go on with different ones.
+  // Two operators may have signed different bundles with one generation. The
+  // object API commits only one of them, but without a total order two daemons
+  // could keep different ones.
   return std::tie(a.Generation, a.Signed) < std::tie(b.Generation, b.Signed);
 }
 
@@ -73,8 +73,8 @@
 static RolloutKnowledge deltaFor(const RolloutKnowledge &mine,
                                  const RolloutKnowledge &theirs) {
   RolloutKnowledge news;
-  // Of two vetoes or stages the join alone says which one counts, so it is
-  // asked whether theirs would change.
+  // Only the merge decides which of two vetoes or stages wins, so test whether
+  // merging changes the peer's entry.
   for (const auto &[version, veto] : mine.Vetoes) {
     RolloutKnowledge known;
     if (const auto it = theirs.Vetoes.find(version); it != theirs.Vetoes.end())
--- a/Libraries/LibDecision/PeerKnowledge.h
+++ b/Libraries/LibDecision/PeerKnowledge.h
@@ -9,10 +9,10 @@
 
 namespace sorrelbay {
 
-/// The newest bundle that a daemon has in force, with the signed bytes, so that
-/// a daemon which starts in an outage of the object API can verify it itself.
+/// The newest bundle in force on a daemon, with its signed bytes, so that a
+/// daemon that starts during an outage of the object API can verify it.
 struct BundleMark {
-  /// 0 while there is none.
+  /// 0 if there is no bundle.
   std::uint64_t Generation = 0;
   std::string Signed;
 
@@ -22,33 +22,36 @@
   friend bool operator<(const BundleMark &a, const BundleMark &b);
 };
 
-/// What an entry host says of itself. Of two reports of one host the newer one
-/// counts: a later life of the daemon, or a later report of the same life.
+/// The state that an entry host reports about itself. Of two reports of one
+/// host, the newer one counts: that of a later process, or a later report of
+/// the same process.
 struct HostReport {
   ZoneId Zone;
   IncarnationId Incarnation;
-  /// Where peers reach it, as "address:port".
+  /// The address for peers, as "address:port".
   std::string PeerAddress;
-  /// Where callers reach it, as "address:port".
+  /// The address for callers, as "address:port".
   std::string CallerAddress;
-  /// When this life of the daemon began, by its own clock.
+  /// When the daemon process started, by its own clock.
   Instant StartedAt{};
   std::uint64_t Sequence = 0;
-  /// It takes no new calls: a planned stop or a notice.
+  /// Whether the host accepts no new calls, because of a planned stop or a
+  /// reclaim notice.
   bool IsLeaving = false;
-  /// Calls that it has sent and that are not answered yet.
+  /// Calls that the host has sent and that are not answered yet.
   std::map<UpstreamId, std::uint32_t> InFlight;
 };
 
-/// Whether a is the newer report.
+/// Whether report `a` is newer than `b`.
 bool isNewer(const HostReport &a, const HostReport &b);
 
-/// Upstreams that get nothing new, each until a time; the later time counts.
+/// Upstreams that receive no new calls, with the end of that time. Of two
+/// times, the later one counts.
 using LeavingTimes = std::map<UpstreamId, Instant>;
 
-/// All that daemons tell each other besides requests. A join: it only grows by
-/// merge, so that messages which are lost, late, repeated or out of order do
-/// no harm, and any part of it is a message.
+/// The state that daemons replicate to each other, besides requests. A join
+/// semilattice: it only grows by merging, so lost, late, duplicated or
+/// reordered messages do no harm, and any part of it is a valid message.
 struct PeerKnowledge {
   BundleMark Bundle;
   LeavingTimes Leaving;
@@ -56,25 +59,25 @@
   RolloutKnowledge Rollout;
 };
 
-/// Takes in what another daemon knows; true if anything was new. The bundle of
-/// the other must have been verified before. The generation never goes down.
+/// Merges the state of another daemon. Returns true if anything changed. The
+/// other daemon's bundle must have been verified before. The generation never
+/// decreases.
 bool merge(PeerKnowledge &into, const PeerKnowledge &from);
 
-/// What a daemon that knows `theirs` lacks of `mine`; merged there, it makes
-/// the two equal in all that is mine.
+/// Returns the part of `mine` that a daemon with `theirs` lacks. Merging it
+/// there brings that daemon up to date with `mine`.
 PeerKnowledge deltaFor(const PeerKnowledge &mine, const PeerKnowledge &theirs);
 
 bool isEmpty(const PeerKnowledge &knowledge);
 bool isEmpty(const RolloutKnowledge &knowledge);
 
-/// The part that is sent to peers as soon as it changes: all but what other
-/// hosts counted and reported, which those tell by themselves where all are
-/// linked to all.
+/// The part that is sent to peers as soon as it changes: everything except the
+/// counters and reports of other hosts, which send their own in a full mesh.
 PeerKnowledge promptPart(const PeerKnowledge &knowledge,
                          const EvidenceSource &self);
 
-/// Drops the upstreams whose time is over. The same mark may come back from a
-/// peer whose clock is behind, and is dropped again.
+/// Removes the upstreams whose time has passed. A peer whose clock is behind
+/// may send an entry again; it is then removed again.
 void eraseExpiredLeaving(PeerKnowledge &knowledge, Instant at);
 
 } // namespace sorrelbay
--- a/Libraries/LibDecision/Placement.cpp
+++ b/Libraries/LibDecision/Placement.cpp
@@ -32,8 +32,8 @@
          !contains(request.Tried, upstream.Id);
 }
 
-// A fluid queue: the reported backlog drains at the engine's rate from the
-// time of the report on, and each later send adds to it.
+// A fluid queue model: the reported backlog drains at the engine's rate from
+// the time of the report on, and each later call adds to it.
 Placement::Load Placement::loadOf(const UpstreamState &upstream,
                                   Instant now) const {
   Load load{static_cast<double>(upstream.ReportedOpenCalls),
@@ -76,10 +76,10 @@
       static_cast<double>(request.PromptTokens - cached) / rate;
   double wait = load.BacklogTokens / rate + compute +
                 load.OpenCalls * toSeconds(Settings.WaitPerOpenCall);
-  const double tooMany =
+  const double excessCalls =
       load.OpenCalls + 1 - Settings.ConcurrentCallsPerUpstream;
-  if (tooMany > 0)
-    wait += tooMany * toSeconds(Settings.MeanCallTime) /
+  if (excessCalls > 0)
+    wait += excessCalls * toSeconds(Settings.MeanCallTime) /
             Settings.ConcurrentCallsPerUpstream;
   if (upstream.InZone != request.OwnZone)
     wait += 2 * toSeconds(Settings.CrossZoneLatency);
@@ -89,8 +89,9 @@
   return {&upstream, fromSeconds(wait), cost, cached};
 }
 
-// Rendezvous hashing: daemons that have not heard of a conversation agree on
-// its home without a word, and a home that leaves moves only its own.
+// Rendezvous hashing: daemons without an entry for a conversation agree on its
+// home without communication, and only the conversations of a leaving upstream
+// get a new home.
 const UpstreamState *
 Placement::homeOf(const std::vector<UpstreamState> &upstreams,
                   const PlacementRequest &request) const {
@@ -144,7 +145,7 @@
   return {chosen.Upstream->Id, chosen.Wait, chosen.CachedTokens};
 }
 
-void Placement::remember(const UpstreamId &upstream, const Change &change) {
+void Placement::recordChange(const UpstreamId &upstream, const Change &change) {
   std::deque<Change> &changes = Changes[upstream];
   const auto later = std::upper_bound(
       changes.begin(), changes.end(), change,
@@ -157,19 +158,19 @@
 void Placement::noteSent(const UpstreamId &upstream,
                          const PlacementRequest &request,
                          std::int64_t cachedTokens, Instant now) {
-  remember(upstream, {now, 1, request.PromptTokens - cachedTokens});
+  recordChange(upstream, {now, 1, request.PromptTokens - cachedTokens});
   Prefixes.note(upstream, request.Conversation, request.PromptTokens);
 }
 
 void Placement::notePeerSent(const UpstreamId &upstream, int calls,
                              std::int64_t tokens, Instant at) {
-  remember(upstream, {at, calls, tokens});
+  recordChange(upstream, {at, calls, tokens});
 }
 
 void Placement::noteFinished(const UpstreamId &upstream,
                              const ConversationKey &conversation,
                              std::int64_t conversationTokens, Instant now) {
-  remember(upstream, {now, -1, 0});
+  recordChange(upstream, {now, -1, 0});
   Prefixes.note(upstream, conversation, conversationTokens);
 }
 
--- a/Libraries/LibDecision/Placement.h
+++ b/Libraries/LibDecision/Placement.h
@@ -11,106 +11,110 @@
 
 namespace sorrelbay {
 
-/// What a daemon knows of one upstream when it places a call. The reported
-/// figures come from the upstream itself and lag; where none has come yet they
-/// stay zero.
+/// What a daemon knows of an upstream when it places a call. The reported
+/// values come from the upstream and lag behind. They are zero before the first
+/// report.
 struct UpstreamState {
   UpstreamId Id;
   ServiceId OfService;
   VersionId OfVersion;
   ZoneId InZone;
-  /// Calls that run or wait at the upstream, from all daemons.
+  /// Calls running or queued at the upstream, from all daemons.
   int ReportedOpenCalls = 0;
-  /// Prompt tokens that wait to be computed; 0 for desks.
+  /// Prompt tokens queued for prefill; 0 for desks.
   std::int64_t ReportedBacklogTokens = 0;
   Instant ReportedAt{};
-  /// This daemon's own calls that are open there now.
+  /// This daemon's own calls that are open at the upstream.
   int OwnOpenCalls = 0;
   bool IsLeaving = false;
 };
 
-/// One call to be placed.
+/// A call to be placed.
 struct PlacementRequest {
   ServiceId ForService;
-  /// The version that the call's share fell to; empty allows every version.
+  /// The version chosen for the call. Any version is allowed if empty.
   VersionId AllowedVersion;
   /// Empty if the call belongs to no conversation.
   ConversationKey Conversation;
   std::int64_t PromptTokens = 0;
-  /// The daemon's own zone.
+  /// The zone of this daemon.
   ZoneId OwnZone;
-  /// Decides between near-equals; a hash of the call's id will do.
+  /// Random seed for the choice among upstreams of similar cost, such as a hash
+  /// of the call id.
   std::uint64_t Seed = 0;
-  /// Upstreams that this call has already tried.
+  /// Upstreams that this call was already sent to.
   std::vector<UpstreamId> Tried;
 };
 
-/// Where a call goes. Without an upstream there is none that may take it.
+/// The result of placing a call. Has no upstream if none is eligible.
 struct PlacementChoice {
   std::optional<UpstreamId> Upstream;
-  /// Until the first token, or a desk's answer, is expected.
+  /// The expected time until the first token, or until the answer of a desk.
   Duration ExpectedWait{};
-  /// Prompt tokens that the upstream is expected to have in its cache.
+  /// Prompt tokens that the upstream is expected to have cached.
   std::int64_t CachedTokens = 0;
 };
 
 struct PlacementSettings {
-  /// How fast an upstream computes a prompt.
+  /// The prefill rate of an upstream.
   double PromptTokensPerSecond = 8000;
-  /// What each call that is open at an upstream adds to the next one's wait.
+  /// How much each open call of an upstream delays the next one.
   Duration WaitPerOpenCall = milliseconds(1);
-  /// Calls that an upstream works on at once; one more waits for a place.
+  /// The maximum number of concurrent calls of an upstream; further calls are
+  /// queued.
   int ConcurrentCallsPerUpstream = 64;
-  /// How long a call holds its place.
+  /// The average time that a call occupies one of the concurrent slots.
   Duration MeanCallTime = seconds(5);
-  /// One way, to an upstream in another zone.
+  /// One-way latency to an upstream in another zone.
   Duration CrossZoneLatency = microseconds(500);
-  /// Upstreams within this much of the best one's cost are near-equals; the
-  /// larger of the two limits counts.
+  /// Upstreams whose cost exceeds the lowest by at most this tolerance count as
+  /// equal. The larger of the absolute and the relative tolerance applies.
   Duration CostTolerance = milliseconds(5);
   double CostToleranceShare = 0.1;
-  /// What a prompt token that must be computed costs, as a multiple of its own
-  /// time: it delays the calls behind this one, too.
+  /// The cost of computing a prompt token, as a multiple of its compute time.
+  /// It is above 1 because the calls behind this one are delayed, too.
   double ComputeWeight = 2;
-  /// The share of a prompt that is assumed to be cached at the conversation's
-  /// home when this daemon has seen no turn of it yet.
+  /// The share of a prompt assumed to be cached at the conversation's home
+  /// upstream while this daemon has placed no call of the conversation.
   double AssumedCachedShare = 0.3;
   std::size_t MaxConversations = 20000;
-  /// Sends that are remembered for each upstream until a report covers them.
+  /// The maximum number of load changes kept per upstream. The oldest one is
+  /// dropped beyond it.
   std::size_t MaxRememberedSends = 256;
 };
 
-/// Chooses the upstream for each call by what it costs there: the wait, the
-/// prompt tokens to compute and the distance between zones. Not thread-safe;
-/// the daemon locks around it.
+/// Chooses the upstream with the lowest cost for each call. The cost covers
+/// queueing, prefill and the latency between zones. Not thread-safe; the daemon
+/// serialises access to it.
 class Placement {
 public:
   explicit Placement(PlacementSettings settings = {});
 
-  /// The upstream for the call; never one that is leaving, is of another
-  /// version or was tried before.
+  /// Chooses an upstream that is not leaving, has an allowed version and was
+  /// not tried before.
   PlacementChoice choose(const std::vector<UpstreamState> &upstreams,
                          const PlacementRequest &request, Instant now) const;
-  /// The call was sent there by this daemon. Without this a burst between two
-  /// load reports all goes to the upstream that looked idle.
+  /// Records that this daemon sent the call to the upstream. Otherwise all
+  /// calls of a burst between two load reports would go to the upstream that
+  /// seemed idle.
   void noteSent(const UpstreamId &upstream, const PlacementRequest &request,
                 std::int64_t cachedTokens, Instant now);
-  /// A peer has reported that it sent calls with that many tokens to compute.
+  /// Records that a peer sent calls with a total of `tokens` to compute.
   void notePeerSent(const UpstreamId &upstream, int calls, std::int64_t tokens,
                     Instant at);
-  /// A call that this daemon sent is over; its answer added that many tokens
-  /// to the conversation.
+  /// Records the end of a call that this daemon sent. The conversation has
+  /// `conversationTokens` tokens now.
   void noteFinished(const UpstreamId &upstream,
                     const ConversationKey &conversation,
                     std::int64_t conversationTokens, Instant now);
-  /// The engine reported that it no longer holds the conversation's prefix.
+  /// Records that the engine evicted the prefix of the conversation.
   void noteEvicted(const UpstreamId &upstream,
                    const ConversationKey &conversation);
-  /// The upstream is gone.
+  /// Removes an upstream that is gone.
   void forget(const UpstreamId &upstream);
 
 private:
-  /// A change of an upstream's load that its last report can't know of yet.
+  /// A change in an upstream's load after its last report.
   struct Change {
     Instant At;
     int Calls = 0;
@@ -137,7 +141,7 @@
                               const PlacementRequest &request) const;
   std::size_t pick(const std::vector<Candidate> &candidates,
                    const PlacementRequest &request) const;
-  void remember(const UpstreamId &upstream, const Change &change);
+  void recordChange(const UpstreamId &upstream, const Change &change);
 
   PlacementSettings Settings;
   PrefixTable Prefixes;
--- a/Libraries/LibDecision/PrefixTable.cpp
+++ b/Libraries/LibDecision/PrefixTable.cpp
@@ -6,14 +6,14 @@
 const UpstreamId *
 PrefixTable::holderOf(const ConversationKey &conversation) const {
   const auto found = ByKey.find(conversation);
-  return found == ByKey.end() ? nullptr : &found->second->Base;
+  return found == ByKey.end() ? nullptr : &found->second->HolderId;
 }
 
 std::int64_t
 PrefixTable::cachedTokensAt(const UpstreamId &upstream,
                             const ConversationKey &conversation) const {
   const auto found = ByKey.find(conversation);
-  if (found == ByKey.end() || found->second->Base != upstream)
+  if (found == ByKey.end() || found->second->HolderId != upstream)
     return 0;
   return found->second->Tokens;
 }
@@ -25,7 +25,7 @@
     return;
   const auto found = ByKey.find(conversation);
   if (found != ByKey.end()) {
-    found->second->Base = upstream;
+    found->second->HolderId = upstream;
     found->second->Tokens = tokens;
     Entries.splice(Entries.begin(), Entries, found->second);
     return;
@@ -37,13 +37,13 @@
   Entries.push_front({conversation, upstream, tokens});
   ByKey[conversation] = Entries.begin();
   verifyInvariant(Entries.size() <= MaxEntries, "prefix table is bounded",
-                  "more entries than the limit");
+                  "the prefix table exceeds its maximum size");
 }
 
 void PrefixTable::noteEvicted(const UpstreamId &upstream,
                               const ConversationKey &conversation) {
   const auto found = ByKey.find(conversation);
-  if (found == ByKey.end() || found->second->Base != upstream)
+  if (found == ByKey.end() || found->second->HolderId != upstream)
     return;
   Entries.erase(found->second);
   ByKey.erase(found);
@@ -51,7 +51,7 @@
 
 void PrefixTable::forget(const UpstreamId &upstream) {
   for (auto it = Entries.begin(); it != Entries.end();) {
-    if (it->Base != upstream) {
+    if (it->HolderId != upstream) {
       ++it;
       continue;
     }
--- a/Libraries/LibDecision/RecoveryPlan.cpp
+++ b/Libraries/LibDecision/RecoveryPlan.cpp
@@ -6,12 +6,13 @@
 
 namespace sorrelbay {
 
-/// The share of an answer's estimated length that is taken as its remainder
-/// once it has outgrown the estimate.
+/// The share of the estimated length that is assumed to remain once an answer
+/// is longer than estimated.
 static constexpr double OutgrownRemainder = 0.25;
-/// How long an engine is avoided after it first failed an answer.
+/// How long an engine is avoided after its first failure of an answer.
 static constexpr Duration InitialRetryBackoff = milliseconds(250);
-/// Resumes start this much earlier than their estimated prefill time asks for.
+/// Safety factor on the estimated prefill time, so that resumptions start early
+/// enough.
 static constexpr double PrefillTimeFactor = 1.5;
 
 RecoveryPlan::RecoveryPlan(RecoverySettings settings) : Settings(settings) {}
@@ -19,7 +20,8 @@
 void RecoveryPlan::setUpstream(const UpstreamId &id, const ZoneId &zone,
                                std::uint32_t capacity) {
   Upstream &upstream = Upstreams[id];
-  // An address that comes back is another process; the notice was not for it.
+  // An address that comes back belongs to a new process, which the notice did
+  // not apply to.
   if (upstream.IsGone)
     upstream.LeavesAt.reset();
   upstream.IsGone = false;
@@ -57,9 +59,9 @@
     auto &known = Upstreams[id].LeavesAt;
     known = known ? std::min(*known, leavesAt) : leavesAt;
   }
-  // A second wave: what was on its way there needs another target.
+  // Moves to an engine that is now leaving, too, need another target.
   for (auto &[request, answer] : Answers)
-    if (answer.In == Phase::Moving && isLeaving(answer.To))
+    if (answer.CurrentPhase == Phase::Moving && isLeaving(answer.To))
       requeue(answer);
   return plan(at);
 }
@@ -80,19 +82,19 @@
                                     std::uint64_t cachedTokens) {
   RecoveryActions actions;
   auto it = Answers.find(request);
-  if (it == Answers.end() || it->second.In != Phase::Moving)
+  if (it == Answers.end() || it->second.CurrentPhase != Phase::Moving)
     return actions;
   Answer &answer = it->second;
   const UpstreamId to = answer.To;
   const std::uint64_t whole = context(answer);
   releaseTarget(answer);
-  startResume(answer, to, whole - std::min(whole, cachedTokens), actions);
+  startResumption(answer, to, whole - std::min(whole, cachedTokens), actions);
   return plan(at, std::move(actions));
 }
 
 RecoveryActions RecoveryPlan::moveFailed(Instant at, const RequestId &request) {
   auto it = Answers.find(request);
-  if (it == Answers.end() || it->second.In != Phase::Moving)
+  if (it == Answers.end() || it->second.CurrentPhase != Phase::Moving)
     return {};
   it->second.HasMoveFailed = true;
   requeue(it->second);
@@ -101,11 +103,11 @@
 
 RecoveryActions RecoveryPlan::resumed(Instant at, const RequestId &request) {
   auto it = Answers.find(request);
-  if (it == Answers.end() || it->second.In != Phase::Resuming)
+  if (it == Answers.end() || it->second.CurrentPhase != Phase::Resuming)
     return {};
   endPrefill(it->second);
-  it->second.In = Phase::Steady;
-  it->second.LostAt = UpstreamId();
+  it->second.CurrentPhase = Phase::Steady;
+  it->second.ConnectionLostTo = UpstreamId();
   it->second.Avoided.clear();
   return plan(at);
 }
@@ -119,10 +121,10 @@
   Answer &answer = it->second;
   requeue(answer);
   leave(answer);
-  if (loss == AttemptLoss::Upstream || answer.LostAt == upstream) {
+  if (loss == AttemptLoss::Upstream || answer.ConnectionLostTo == upstream) {
     avoid(at, answer, upstream);
   } else {
-    answer.LostAt = upstream;
+    answer.ConnectionLostTo = upstream;
     answer.Open.Cached.push_back({upstream, context(answer)});
   }
   return plan(at);
@@ -132,13 +134,14 @@
 
 bool RecoveryPlan::isBusy() const {
   return std::any_of(Answers.begin(), Answers.end(), [this](const auto &entry) {
-    return entry.second.In != Phase::Steady || isLeaving(entry.second.At);
+    return entry.second.CurrentPhase != Phase::Steady ||
+           isLeaving(entry.second.At);
   });
 }
 
 std::size_t RecoveryPlan::waiting() const {
   return std::count_if(Answers.begin(), Answers.end(), [](const auto &entry) {
-    return entry.second.In == Phase::Waiting;
+    return entry.second.CurrentPhase == Phase::Waiting;
   });
 }
 
@@ -196,12 +199,12 @@
   return it != answer.Avoided.end() && at < it->second.Until;
 }
 
-/// An answer whose engines all fail would else spend its attempts in the few
-/// milliseconds before another engine is listed.
+/// Without the backoff, an answer whose engines all fail would use up its
+/// attempts within milliseconds, before another engine is listed.
 void RecoveryPlan::avoid(Instant at, Answer &answer, const UpstreamId &id) {
   RetryBackoff &entry = answer.Avoided[id];
-  entry.Pause = std::max(InitialRetryBackoff, entry.Pause * 2);
-  entry.Until = at + entry.Pause;
+  entry.BackoffDelay = std::max(InitialRetryBackoff, entry.BackoffDelay * 2);
+  entry.Until = at + entry.BackoffDelay;
 }
 
 std::uint32_t RecoveryPlan::totalRoom() const {
@@ -212,7 +215,7 @@
   return n;
 }
 
-/// Engines are reclaimed by zone: where one leaves, the next may follow.
+/// Reclaims often hit whole zones: other engines of the zone may be next.
 bool RecoveryPlan::isZoneAtRisk(const ZoneId &zone) const {
   return std::any_of(
       Upstreams.begin(), Upstreams.end(), [&zone](const auto &entry) {
@@ -220,7 +223,7 @@
       });
 }
 
-/// When the answer's engine leaves; the epoch if it has none.
+/// When the answer's engine leaves; the epoch if the answer has none.
 Instant RecoveryPlan::leavesAt(const Answer &answer) const {
   auto it = Upstreams.find(answer.At);
   if (it == Upstreams.end() || it->second.IsGone)
@@ -268,44 +271,44 @@
 }
 
 void RecoveryPlan::endPrefill(Answer &answer) {
-  if (answer.In == Phase::Resuming)
+  if (answer.CurrentPhase == Phase::Resuming)
     --Upstreams[answer.At].Prefills;
 }
 
 void RecoveryPlan::requeue(Answer &answer) {
   endPrefill(answer);
   releaseTarget(answer);
-  answer.In = Phase::Waiting;
+  answer.CurrentPhase = Phase::Waiting;
 }
 
 void RecoveryPlan::verifyTarget(const UpstreamId &id) const {
   const Upstream &upstream = Upstreams.at(id);
   verifyInvariant(!upstream.IsGone && !upstream.LeavesAt,
                   "recovery-avoids-leaving-upstreams",
-                  "an answer was sent to an upstream that leaves");
+                  "an answer was assigned to a leaving upstream");
   verifyInvariant(upstream.Load < upstream.Capacity,
                   "recovery-keeps-to-capacity",
-                  "an answer was sent to an upstream without room");
+                  "an answer was assigned to a full upstream");
 }
 
 RecoveryActions RecoveryPlan::plan(Instant at, RecoveryActions actions) {
-  reconsider(at);
-  std::uint32_t promisedRoom = 0;
-  const Candidates rest = planMoves(at, promisedRoom, actions);
-  planResumes(at, rest, promisedRoom, actions);
+  queueAtRiskAnswers(at);
+  std::uint32_t reservedRoom = 0;
+  const Candidates rest = planMoves(at, reservedRoom, actions);
+  planResumptions(at, rest, reservedRoom, actions);
   return actions;
 }
 
-void RecoveryPlan::reconsider(Instant at) {
+void RecoveryPlan::queueAtRiskAnswers(Instant at) {
   for (auto &[request, answer] : Answers)
-    if (answer.In == Phase::Steady && isLeaving(answer.At) &&
+    if (answer.CurrentPhase == Phase::Steady && isLeaving(answer.At) &&
         !finishesInPlace(at, answer))
-      answer.In = Phase::Waiting;
+      answer.CurrentPhase = Phase::Waiting;
 }
 
-/// The answers that wait, in the order in which their engines leave; among
-/// equals those first whose cache saves most for its size, and the long before
-/// the short.
+/// The waiting answers, ordered by the time at which their engines leave. Ties
+/// are ordered by the share of tokens that moving the cache saves, then by
+/// context length, largest first.
 RecoveryPlan::Candidates RecoveryPlan::waitingAnswers() {
   struct Ranked {
     Instant LeavesAt;
@@ -315,7 +318,7 @@
   };
   std::vector<Ranked> ranked;
   for (auto &[request, answer] : Answers) {
-    if (answer.In != Phase::Waiting)
+    if (answer.CurrentPhase != Phase::Waiting)
       continue;
     const std::uint64_t whole = context(answer);
     const double saved = static_cast<double>(leastRecomputed(answer)) /
@@ -335,7 +338,7 @@
 
 RecoveryPlan::MoveSlots RecoveryPlan::moveSlots(Instant at) const {
   MoveSlots slots;
-  slots.Together.assign(Settings.MovesTogether, at);
+  slots.Overall.assign(Settings.MovesTogether, at);
   for (const auto &[id, upstream] : Upstreams)
     slots.BySource[id].assign(Settings.MovesPerSource, at);
   auto occupy = [](std::vector<Instant> &free, Instant until) {
@@ -343,20 +346,20 @@
     *earliest = std::max(*earliest, until);
   };
   for (const auto &[request, answer] : Answers) {
-    if (answer.In != Phase::Moving)
+    if (answer.CurrentPhase != Phase::Moving)
       continue;
-    // A move that takes longer than planned still occupies its slot.
+    // A move that takes longer than estimated still occupies its slot.
     const Instant until = std::max(answer.MoveEnds, at + milliseconds(1));
-    occupy(slots.Together, until);
+    occupy(slots.Overall, until);
     occupy(slots.BySource[answer.At], until);
   }
   return slots;
 }
 
-/// Starts the moves that have a slot and notes the room that later ones need.
-/// Returns the answers that no move can save.
+/// Starts the moves for which a slot is free and counts the room to reserve for
+/// later ones. Returns the answers that cannot be moved in time.
 RecoveryPlan::Candidates RecoveryPlan::planMoves(Instant at,
-                                                 std::uint32_t &promisedRoom,
+                                                 std::uint32_t &reservedRoom,
                                                  RecoveryActions &actions) {
   Candidates rest;
   MoveSlots slots = moveSlots(at);
@@ -366,36 +369,35 @@
       continue;
     }
     auto &bySource = slots.BySource[answer->At];
-    auto together =
-        std::min_element(slots.Together.begin(), slots.Together.end());
+    auto overall = std::min_element(slots.Overall.begin(), slots.Overall.end());
     auto source = std::min_element(bySource.begin(), bySource.end());
-    const Instant begin = std::max(*together, *source);
+    const Instant begin = std::max(*overall, *source);
     const Instant end = begin + moveTime(*answer);
     if (end + Settings.Margin > leavesAt(*answer)) {
       rest.push_back(answer);
       continue;
     }
-    *together = *source = end;
-    const UpstreamId *to = begin <= at ? targetOfMove() : nullptr;
+    *overall = *source = end;
+    const UpstreamId *to = begin <= at ? moveTarget() : nullptr;
     if (to)
       startMove(at, *answer, *to, actions);
     else
-      ++promisedRoom;
+      ++reservedRoom;
   }
   return rest;
 }
 
-/// Whether the answer may stay where it is for now: it gains tokens there and
-/// may even finish, and the later a resume the fewer of them stand together.
+/// Whether the answer may stay on its engine for now. It generates more tokens
+/// there and may even finish, and later resumptions are spread out more.
 bool RecoveryPlan::mayStay(Instant at, const Answer &answer,
                            Duration backlog) const {
   return !answer.At.empty() &&
          at + backlog + Settings.Margin < leavesAt(answer);
 }
 
-void RecoveryPlan::planResumes(Instant at, const Candidates &candidates,
-                               std::uint32_t promisedRoom,
-                               RecoveryActions &actions) {
+void RecoveryPlan::planResumptions(Instant at, const Candidates &candidates,
+                                   std::uint32_t reservedRoom,
+                                   RecoveryActions &actions) {
   std::uint32_t engines = 0;
   for (const auto &[id, upstream] : Upstreams)
     engines += hasRoom(upstream) ? 1 : 0;
@@ -409,15 +411,16 @@
   for (Answer *answer : candidates) {
     if (mayStay(at, *answer, backlog))
       continue;
-    // Room that a move will need is left to it, unless nobody serves this one.
-    if (!answer->At.empty() && totalRoom() <= promisedRoom)
+    // Leave the room that later moves need, unless no engine serves this
+    // answer.
+    if (!answer->At.empty() && totalRoom() <= reservedRoom)
       continue;
-    if (const UpstreamId *to = targetOfResume(at, *answer))
-      startResume(*answer, *to, recomputedAt(*answer, *to), actions);
+    if (const UpstreamId *to = resumptionTarget(at, *answer))
+      startResumption(*answer, *to, recomputedAt(*answer, *to), actions);
   }
 }
 
-const UpstreamId *RecoveryPlan::targetOfMove() const {
+const UpstreamId *RecoveryPlan::moveTarget() const {
   const UpstreamId *best = nullptr;
   std::tuple<bool, double> bestRank;
   for (const auto &[id, upstream] : Upstreams) {
@@ -434,8 +437,8 @@
   return best;
 }
 
-const UpstreamId *RecoveryPlan::targetOfResume(Instant at,
-                                               const Answer &answer) const {
+const UpstreamId *RecoveryPlan::resumptionTarget(Instant at,
+                                                 const Answer &answer) const {
   const UpstreamId *best = nullptr;
   std::tuple<bool, std::uint64_t, double> bestRank;
   for (const auto &[id, upstream] : Upstreams) {
@@ -458,19 +461,19 @@
   verifyTarget(to);
   answer.To = to;
   ++Upstreams[to].Load;
-  answer.In = Phase::Moving;
+  answer.CurrentPhase = Phase::Moving;
   answer.MoveEnds = at + moveTime(answer);
   actions.Moves.push_back({answer.Open.Request, answer.At, to});
 }
 
-void RecoveryPlan::startResume(Answer &answer, const UpstreamId &to,
-                               std::uint64_t recomputed,
-                               RecoveryActions &actions) {
+void RecoveryPlan::startResumption(Answer &answer, const UpstreamId &to,
+                                   std::uint64_t recomputed,
+                                   RecoveryActions &actions) {
   verifyTarget(to);
   leave(answer);
   enter(answer, to);
   ++Upstreams[to].Prefills;
-  answer.In = Phase::Resuming;
+  answer.CurrentPhase = Phase::Resuming;
   actions.Resumes.push_back({answer.Open.Request, to, recomputed});
 }
 
--- a/Libraries/LibDecision/RecoveryPlan.h
+++ b/Libraries/LibDecision/RecoveryPlan.h
@@ -8,73 +8,75 @@
 
 namespace sorrelbay {
 
-/// How much of a prompt an engine is believed to hold in its cache.
+/// The number of prompt tokens assumed to be cached on an engine.
 struct CachedPrefix {
   UpstreamId At;
   std::uint64_t Tokens = 0;
 };
 
-/// An answer that is open on an engine.
+/// An answer that is being generated on an engine.
 struct OpenAnswer {
   RequestId Request;
   std::uint64_t PromptTokens = 0;
   std::uint64_t TokensSoFar = 0;
-  /// Estimated length of the whole answer.
+  /// Estimated length of the whole answer, in tokens.
   std::uint64_t ExpectedLength = 0;
-  /// Engines that are believed to hold a part of the prompt in their caches.
+  /// Engines that are assumed to cache a part of the prompt.
   std::vector<CachedPrefix> Cached;
 };
 
-/// The rates and bounds that plans are made with.
+/// Rates and limits for recovery plans.
 struct RecoverySettings {
-  /// A stream's own pace on an engine.
+  /// Generation rate of one answer on an engine.
   double TokensPerSecond = 30;
-  /// How fast an engine computes a prefix.
+  /// Prefill rate of an engine.
   double PrefillTokensPerSecond = 4000;
-  /// Size of the KV cache of one token.
+  /// Size of the KV cache per token.
   double CacheBytesPerToken = 131072;
-  /// The rate of one move of a cache, export and import together.
+  /// Rate of a single KV cache move, including export and import.
   double MoveBytesPerSecond = 5e8;
-  /// Moves out of one engine, and all moves, at the same time; 0 for none.
+  /// Maximum concurrent moves out of one engine, and of all moves. 0 disables
+  /// moves.
   std::uint32_t MovesPerSource = 2;
   std::uint32_t MovesTogether = 6;
-  /// Answers whose prefix one engine computes at the same time; more of them
-  /// would hold up the answers that it serves already.
+  /// Maximum concurrent prefills of resumed answers per engine. More of them
+  /// would slow down the answers that it already serves.
   std::uint32_t PrefillsTogether = 2;
-  /// Kept free before an engine's end.
+  /// Time kept free before an engine leaves.
   Duration Margin = milliseconds(300);
-  /// An answer is left to finish in place only if this many times its estimated
-  /// remainder fits.
+  /// An answer is left to finish on a leaving engine only if this multiple of
+  /// its estimated remaining time fits.
   double FinishTimeFactor = 1.25;
 };
 
-/// What is known of an attempt that was lost.
+/// How an attempt failed.
 enum class AttemptLoss {
-  /// Its connection fell silent or broke. The engine may be well and still hold
-  /// the answer in its cache, so it is asked once more.
+  /// The connection timed out or broke. The engine may be healthy and still
+  /// cache the answer, so it is tried once more.
   Connection,
-  /// The engine refused, failed or sent what can't be right. It is not asked
-  /// again for a while, which doubles each time.
+  /// The engine refused, failed or sent an invalid response. It is avoided with
+  /// exponential backoff.
   Upstream,
 };
 
-/// Begin an export from one engine and its import into the other. The answer
-/// goes on at its old engine meanwhile.
+/// Start to export the KV cache from one engine and to import it into the
+/// other. The old engine continues the answer in the meantime.
 struct MoveCache {
   RequestId Request;
   UpstreamId From;
   UpstreamId To;
 };
 
-/// Begin a new attempt there at the next offset, then cancel the old one.
+/// Start a new attempt on the engine at the next offset, then cancel the old
+/// one.
 struct AnswerResumption {
   RequestId Request;
   UpstreamId To;
-  /// Tokens that the engine is expected to compute again.
+  /// Tokens that the engine is expected to recompute.
   std::uint64_t Recomputed = 0;
 };
 
-/// What the owner has to do now. What isn't named stays as it is.
+/// The actions to take now. Answers that are not listed stay as they are.
 struct RecoveryActions {
   std::vector<MoveCache> Moves;
   std::vector<AnswerResumption> Resumes;
@@ -82,59 +84,62 @@
 
 /// Plans how the open answers of one entry host survive the reclaim of engines.
 ///
-/// Left to itself, a zone's reclaim breaks all its answers at once; resumed at
-/// once they swamp the engines that are left, and each prefix is computed
-/// again. So answers that can finish in place are left, the caches of as many
-/// others as the path carries are moved before the end, and the rest is resumed
-/// by prefix, spread over the notice and over engines with room.
+/// The reclaim of a zone would break all its answers at once. Resuming them all
+/// at that time would overload the remaining engines, each of which would
+/// recompute the whole prefixes. Answers that can finish in place are therefore
+/// left alone. As many of the others as the bandwidth allows have their caches
+/// moved before the end. The rest is resumed from the prefix, spread over the
+/// notice period and over engines with room.
 ///
-/// Events go in with a time, actions come out. Not safe for use from several
-/// threads.
+/// Events are passed in with their time, and the actions to take are returned.
+/// Not thread-safe.
 class RecoveryPlan {
 public:
   explicit RecoveryPlan(RecoverySettings settings);
 
-  /// A stream's pace as measured.
+  /// Sets the measured generation rate of one answer.
   void setTokensPerSecond(double n) { Settings.TokensPerSecond = n; }
-  /// An engine and how many answers this host may have open on it; again when
-  /// that changes.
+  /// Adds or updates an engine and the number of answers that this host may
+  /// have open on it.
   void setUpstream(const UpstreamId &id, const ZoneId &zone,
                    std::uint32_t capacity);
-  /// An answer began on an engine.
+  /// An answer started on an engine.
   void open(const OpenAnswer &answer, const UpstreamId &at);
   void setProgress(const RequestId &request, std::uint64_t tokensSoFar);
-  /// The answer ended or its caller gave it up.
+  /// The answer ended, or its caller cancelled it.
   void close(const RequestId &request);
 
-  /// The engines will be gone at that time. Repeated or earlier notices are
-  /// fine; a later time for the same engine is ignored.
+  /// The engines will leave at that time. Notices may be repeated. Of several
+  /// notices for one engine, the earliest time counts.
   RecoveryActions notice(Instant at, const std::vector<UpstreamId> &upstreams,
                          Instant leavesAt);
-  /// The engine is gone, announced or not.
+  /// The engine is gone, with or without notice.
   RecoveryActions gone(Instant at, const UpstreamId &upstream);
-  /// An import is finished; the cache covers that many tokens, prompt included.
+  /// The import of a cache has finished. The cache covers `cachedTokens`
+  /// tokens, including the prompt.
   RecoveryActions moved(Instant at, const RequestId &request,
                         std::uint64_t cachedTokens);
   RecoveryActions moveFailed(Instant at, const RequestId &request);
-  /// The first token of the attempt that a AnswerResumption asked for has come.
+  /// The first token of the attempt that an AnswerResumption asked for has
+  /// arrived.
   RecoveryActions resumed(Instant at, const RequestId &request);
-  /// The answer's attempt at that engine failed. Ignored if the answer has been
-  /// sent elsewhere meanwhile.
+  /// The answer's attempt on that engine failed. Ignored if the answer has
+  /// moved to another engine in the meantime.
   RecoveryActions attemptLost(Instant at, const RequestId &request,
                               const UpstreamId &upstream, AttemptLoss loss);
-  /// Called a few times a second while isBusy().
+  /// Must be called a few times per second while isBusy().
   RecoveryActions tick(Instant at);
 
-  /// Whether an answer waits, moves or sits on an engine that leaves.
+  /// Whether any answer is waiting, moving, resuming or on a leaving engine.
   bool isBusy() const;
-  /// Answers that wait for room.
+  /// The number of answers that wait for room.
   std::size_t waiting() const;
-  /// Whether a new call may go there. Answers that wait have been accepted
-  /// before it, and a place that it took would keep them waiting.
+  /// Whether a new call may be sent to the engine. Waiting answers were
+  /// accepted earlier, and a new call must not take their room.
   bool mayAdmit(const UpstreamId &upstream) const;
-  /// The same, where the engine isn't chosen yet.
+  /// The same, before an engine is chosen.
   bool mayAdmitAnywhere() const;
-  /// Answers open or promised on the engine.
+  /// Answers that are open on the engine or being moved to it.
   std::uint32_t load(const UpstreamId &upstream) const;
   bool isLeaving(const UpstreamId &upstream) const;
 
@@ -142,20 +147,21 @@
   enum class Phase { Steady, Waiting, Moving, Resuming };
   struct RetryBackoff {
     Instant Until{};
-    Duration Pause{};
+    Duration BackoffDelay{};
   };
   struct Answer {
     OpenAnswer Open;
-    /// Where it is being answered; empty if nowhere.
+    /// The engine that serves the answer; empty if there is none.
     UpstreamId At;
-    /// Where its cache is being moved; holds a place there.
+    /// The engine that the cache is being moved to, where room is reserved.
     UpstreamId To;
-    Phase In = Phase::Steady;
-    /// A move failed and is not tried a second time.
+    Phase CurrentPhase = Phase::Steady;
+    /// A move failed; it is not tried again.
     bool HasMoveFailed = false;
-    /// Where an attempt's connection was lost before its first token.
-    UpstreamId LostAt;
-    /// Engines that failed this answer, until they are tried again.
+    /// The engine whose connection was lost before the first token of the
+    /// attempt.
+    UpstreamId ConnectionLostTo;
+    /// Engines that failed this answer, with the end of their backoff.
     std::map<UpstreamId, RetryBackoff> Avoided;
     Instant MoveEnds{};
   };
@@ -167,9 +173,9 @@
     std::optional<Instant> LeavesAt;
     bool IsGone = false;
   };
-  /// When the slots for moves become free.
+  /// The times at which the slots for moves become free.
   struct MoveSlots {
-    std::vector<Instant> Together;
+    std::vector<Instant> Overall;
     std::map<UpstreamId, std::vector<Instant>> BySource;
   };
   using Candidates = std::vector<Answer *>;
@@ -196,18 +202,18 @@
   void requeue(Answer &answer);
   void verifyTarget(const UpstreamId &id) const;
   RecoveryActions plan(Instant at, RecoveryActions actions = {});
-  void reconsider(Instant at);
+  void queueAtRiskAnswers(Instant at);
   Candidates waitingAnswers();
-  Candidates planMoves(Instant at, std::uint32_t &promisedRoom,
+  Candidates planMoves(Instant at, std::uint32_t &reservedRoom,
                        RecoveryActions &actions);
-  void planResumes(Instant at, const Candidates &candidates,
-                   std::uint32_t promisedRoom, RecoveryActions &actions);
-  const UpstreamId *targetOfMove() const;
-  const UpstreamId *targetOfResume(Instant at, const Answer &answer) const;
+  void planResumptions(Instant at, const Candidates &candidates,
+                       std::uint32_t reservedRoom, RecoveryActions &actions);
+  const UpstreamId *moveTarget() const;
+  const UpstreamId *resumptionTarget(Instant at, const Answer &answer) const;
   void startMove(Instant at, Answer &answer, const UpstreamId &to,
                  RecoveryActions &actions);
-  void startResume(Answer &answer, const UpstreamId &to,
-                   std::uint64_t recomputed, RecoveryActions &actions);
+  void startResumption(Answer &answer, const UpstreamId &to,
+                       std::uint64_t recomputed, RecoveryActions &actions);
 
   RecoverySettings Settings;
   std::map<UpstreamId, Upstream> Upstreams;
--- a/Libraries/LibDecision/Rollout.cpp
+++ b/Libraries/LibDecision/Rollout.cpp
@@ -5,15 +5,16 @@
 
 namespace sorrelbay {
 
-// How the time before the deadline is planned: the probe takes the larger part
-// since a fault that shows late should meet a small share; each later stage
-// takes one part; a reserve is left for evidence that comes slowly.
+// Weights for the division of the time before the deadline. The probe has the
+// largest one, since a fault that shows late should affect only a small share.
+// The reserve is left for evidence that arrives slowly.
 static constexpr double ProbeWeight = 4;
 static constexpr double StageWeight = 1;
 static constexpr double ReserveWeight = 2;
-// A step that the deadline forces is taken this part of the time before it.
-static constexpr double ForcedPart = 0.95;
-// Without a deadline the stages are planned as if it were this far away.
+// A forced step is taken after this share of the time that the deadline allows
+// for it.
+static constexpr double ForcedStepShare = 0.95;
+// Without a deadline, the stages are planned as if it were this far away.
 static constexpr Duration DefaultRolloutTime = hours(1);
 
 const char *toText(RolloutState state) {
@@ -57,7 +58,7 @@
   VersionShares out;
   out.New = Plan.New;
   out.Old = Plan.Old;
-  out.Share = Stages[std::min(Mark.Stage, lastStage())];
+  out.Share = Stages[std::min(CurrentStage.Stage, lastStage())];
   out.IsRolledBack = State == RolloutState::TakenBack;
   out.FreshUntil = RefreshedAt + Settings.StaleAfter;
   return out;
@@ -67,7 +68,7 @@
   const auto it = knowledge.Vetoes.find(Plan.New);
   verifyInvariant(it != knowledge.Vetoes.end() ||
                       State != RolloutState::TakenBack,
-                  "veto-is-never-taken-back", "a known veto is gone");
+                  "veto-is-never-taken-back", "a recorded veto is missing");
   if (it == knowledge.Vetoes.end())
     return false;
   State = RolloutState::TakenBack;
@@ -92,15 +93,15 @@
   const auto it = knowledge.Stages.find(Plan.New);
   const StageRecord known =
       it == knowledge.Stages.end() ? StageRecord{0, now} : it->second;
-  if (HasMark && known.Stage == Mark.Stage) {
-    Mark = known;
+  if (HasCurrentStage && known.Stage == CurrentStage.Stage) {
+    CurrentStage = known;
     return;
   }
-  verifyInvariant(!HasMark || known.Stage > Mark.Stage,
+  verifyInvariant(!HasCurrentStage || known.Stage > CurrentStage.Stage,
                   "rollout-stage-never-goes-back",
-                  "the stage of a move is lower than it was");
-  Mark = known;
-  HasMark = true;
+                  "the stage of a rollout decreased");
+  CurrentStage = known;
+  HasCurrentStage = true;
   Judge.beginStage();
 }
 
@@ -110,36 +111,37 @@
 
 double Rollout::stageWeights() const {
   double sum = 0;
-  for (unsigned n = std::max(Mark.Stage, 1U); n < lastStage(); ++n)
+  for (unsigned n = std::max(CurrentStage.Stage, 1U); n < lastStage(); ++n)
     sum += weightOf(Stages[n]);
   return sum;
 }
 
 Instant Rollout::plannedEnd() const {
-  if (Mark.Stage == 0)
-    return Mark.Since;
-  const Duration left =
-      Plan.hasDeadline() ? Plan.Deadline - Mark.Since : DefaultRolloutTime;
-  const double weight = weightOf(Stages[Mark.Stage]);
-  return Mark.Since +
+  if (CurrentStage.Stage == 0)
+    return CurrentStage.Since;
+  const Duration left = Plan.hasDeadline() ? Plan.Deadline - CurrentStage.Since
+                                           : DefaultRolloutTime;
+  const double weight = weightOf(Stages[CurrentStage.Stage]);
+  return CurrentStage.Since +
          fromSeconds(toSeconds(left) * weight /
                      (stageWeights() + StageWeight + ReserveWeight));
 }
 
 Instant Rollout::forcedEnd() const {
-  const Duration left = Plan.Deadline - Mark.Since;
-  const double weight = weightOf(Stages[Mark.Stage]);
-  return Mark.Since +
-         fromSeconds(toSeconds(left) * ForcedPart * weight / stageWeights());
+  const Duration left = Plan.Deadline - CurrentStage.Since;
+  const double weight = weightOf(Stages[CurrentStage.Stage]);
+  return CurrentStage.Since + fromSeconds(toSeconds(left) * ForcedStepShare *
+                                          weight / stageWeights());
 }
 
 double Rollout::neededEvidence() const {
-  const bool needsNone = Mark.Stage == 0 || Stages[Mark.Stage].IsProbe;
+  const bool needsNone =
+      CurrentStage.Stage == 0 || Stages[CurrentStage.Stage].IsProbe;
   return needsNone ? 0 : Settings.StepEvidence;
 }
 
 bool Rollout::needsEvidence(const Route &route) const {
-  const StageShare &share = Stages[Mark.Stage];
+  const StageShare &share = Stages[CurrentStage.Stage];
   if ((route.Repeatable ? share.Repeatable : share.NonRepeatable) <= 0)
     return false;
   const ComparedCounts calls = Judge.stageCalls(route.Id);
@@ -149,12 +151,12 @@
 bool Rollout::hasEvidence(const Route &route) const {
   if (Judge.stageEvidence(route.Id) < Settings.StageEvidence)
     return false;
-  return Stages[Mark.Stage].IsProbe ||
+  return Stages[CurrentStage.Stage].IsProbe ||
          Judge.evidence(route.Id) >= Settings.StepEvidence;
 }
 
 bool Rollout::hasEvidence() const {
-  if (Mark.Stage == 0)
+  if (CurrentStage.Stage == 0)
     return true;
   bool hasCalls = false;
   for (const Route &it : Plan.Routes) {
@@ -168,7 +170,7 @@
 }
 
 void Rollout::stepIfDue(RolloutKnowledge &knowledge, Instant now) {
-  if (Mark.Stage >= lastStage())
+  if (CurrentStage.Stage >= lastStage())
     return;
   const bool isDue = hasEvidence() && now >= plannedEnd();
   const bool isForced = !isDue && Plan.hasDeadline() &&
@@ -178,14 +180,14 @@
     return;
   if (isForced)
     ++ForcedSteps;
-  raiseStage(knowledge, Plan.New, {Mark.Stage + 1, now});
+  raiseStage(knowledge, Plan.New, {CurrentStage.Stage + 1, now});
   followStage(knowledge, now);
 }
 
 void Rollout::rollBackAtDeadline(RolloutKnowledge &knowledge, Instant now) {
   if (!Plan.hasDeadline() || Plan.Policy != DeadlinePolicy::Safe)
     return;
-  if (Mark.Stage >= lastStage() || now < Plan.Deadline || !isFresh(now))
+  if (CurrentStage.Stage >= lastStage() || now < Plan.Deadline || !isFresh(now))
     return;
   const ComparedCounts seen = Judge.allCalls();
   addVeto(knowledge, {Plan.New, now, Self, RollbackReason::Deadline, RouteId(),
@@ -193,7 +195,7 @@
 }
 
 void Rollout::finishIfDue(Instant now) {
-  if (State != RolloutState::Moving || Mark.Stage < lastStage())
+  if (State != RolloutState::Moving || CurrentStage.Stage < lastStage())
     return;
   const bool isOver = Plan.hasDeadline() && now >= Plan.Deadline;
   if (!hasEvidence() && !isOver)
@@ -206,7 +208,7 @@
   if (followVeto(knowledge))
     return;
   followStage(knowledge, now);
-  // Goes on after the full share and after the end: some faults come later.
+  // Continues at the full share and after the end, since some faults show late.
   if (judge(knowledge, now)) {
     followVeto(knowledge);
     return;
@@ -238,7 +240,7 @@
     callsToNew += seen.New.Calls;
     calls += seen.New.Calls + seen.Old.Calls;
   }
-  const StageShare &share = Stages[Mark.Stage];
+  const StageShare &share = Stages[CurrentStage.Stage];
   if (calls < LeastCalls)
     return std::max(share.Repeatable, share.NonRepeatable);
   return static_cast<double>(callsToNew) / static_cast<double>(calls);
@@ -248,9 +250,9 @@
   RolloutStatus out;
   out.State = State;
   out.EndedAt = EndedAt;
-  out.Stage = Mark.Stage;
+  out.Stage = CurrentStage.Stage;
   out.LastStage = lastStage();
-  out.Share = Stages[std::min(Mark.Stage, lastStage())];
+  out.Share = Stages[std::min(CurrentStage.Stage, lastStage())];
   out.ForcedSteps = ForcedSteps;
   out.Reason = Reason;
   for (const Route &it : Plan.Routes)
--- a/Libraries/LibDecision/Rollout.h
+++ b/Libraries/LibDecision/Rollout.h
@@ -6,26 +6,28 @@
 
 namespace sorrelbay {
 
-/// How careful a rollout is.
+/// How much evidence a rollout needs, and how old it may be.
 struct RolloutSettings {
   JudgeSettings Judge;
-  /// Evidence that each route needs for every step since the stage began,
-  /// against a grossly bad version, as a log likelihood ratio.
+  /// Evidence that each route needs for every step: collected since the stage
+  /// began, against a version that is worse by the severe margin, as a log
+  /// likelihood ratio.
   double StageEvidence = 1.5;
-  /// Evidence that each route needs besides for a step out of all stages but a
-  /// probe, since the move began, against a version that is worse by the
-  /// judge's margins.
+  /// Evidence that each route needs in addition for every step out of a stage
+  /// that is not a probe: collected since the rollout began, against a version
+  /// that is worse by the judge's margins, as a log likelihood ratio.
   double StepEvidence = 2.5;
-  /// Without word from the peers for so long, calls go to the old version.
+  /// Without an answer from the peers for this long, calls go to the old
+  /// version.
   Duration StaleAfter = seconds(1);
 };
 
 enum class RolloutState { Moving, Done, TakenBack };
 
-/// The word for the state in status and logs.
+/// The name of the state in status reports and logs.
 const char *toText(RolloutState state);
 
-/// What status shows of one route of a move.
+/// The status of one route of a rollout.
 struct RouteProgress {
   RouteId Id;
   ComparedCounts Calls;
@@ -33,56 +35,58 @@
   double Needed = 0;
 };
 
-/// What status shows of a move.
+/// The status of a rollout.
 struct RolloutStatus {
   RolloutState State = RolloutState::Moving;
-  /// When the move was done or taken back.
+  /// When the rollout was completed or rolled back.
   Instant EndedAt;
   unsigned Stage = 0;
   unsigned LastStage = 0;
   StageShare Share;
-  /// Steps that the deadline forced without full evidence.
+  /// The number of steps that the deadline forced without full evidence.
   unsigned ForcedSteps = 0;
   std::vector<RouteProgress> Routes;
-  /// Set if it was taken back.
+  /// Set if the version was rolled back.
   std::optional<Veto> Reason;
 };
 
-/// One daemon's part in one move. Each daemon judges on the pooled evidence and
-/// may take a step or take the version back by itself; what they decide joins
-/// without an agreement, so it works while the object API is down.
+/// One daemon's part in a rollout. Each daemon judges the pooled evidence and
+/// may advance the stage or roll the version back on its own. The decisions of
+/// all daemons are merged without consensus, so rollouts work during an outage
+/// of the object API.
 class Rollout {
 public:
   Rollout(RolloutPlan plan, HostId self, RolloutSettings settings = {});
 
-  /// Looks at what is known and decides: a veto, a step, the end of the move.
-  /// To be called after each call that went badly, after each message that
-  /// brought news, and every fraction of a second. What it decides is added to
-  /// the knowledge. Only a daemon that has heard from its peers lately takes a
-  /// version back for lack of evidence.
+  /// Evaluates the knowledge and decides on a veto, a step or the end of the
+  /// rollout. The decision is added to the knowledge. Must be called after each
+  /// failed or late call, after each message with new knowledge, and several
+  /// times per second. A version is rolled back for lack of evidence only if
+  /// the peers have answered recently.
   void update(RolloutKnowledge &knowledge, Instant now);
 
-  /// Takes over the steps and vetoes of others and decides nothing: for a
-  /// daemon that doesn't hear all evidence. At the deadline a move that has its
-  /// full share is done.
+  /// Applies the steps and vetoes of other daemons without deciding anything,
+  /// for a daemon that does not receive all evidence. A rollout at its full
+  /// share is completed at the deadline.
   void follow(const RolloutKnowledge &knowledge, Instant now);
 
-  /// The peers have answered a question that was asked at that time, so that
-  /// all that they knew then is known here. The time of the question counts,
-  /// not that of the answer: after a pause old messages may lie in the socket.
+  /// The peers have answered a query sent at `askedAt`, so all that they knew
+  /// then is known here. The time of the query counts, not that of the answer:
+  /// after a pause, the sockets may hold old messages.
   void refreshed(Instant askedAt);
 
-  /// What chooseVersion needs.
+  /// The input for chooseVersion.
   VersionShares shares() const;
 
-  /// The part of the service's calls that went to the new version in this
-  /// stage, as counted; before there are enough, the stage's share. Replicas
-  /// are packed by it: routes that wait for the others keep it below the share.
+  /// The measured share of the service's calls that went to the new version in
+  /// this stage, or the stage's share before enough calls were counted. The
+  /// number of canary replicas follows from it. Routes that wait for others
+  /// keep it below the stage's share.
   double callShare() const;
 
   RolloutStatus status() const;
   RolloutState state() const { return State; }
-  bool isAtFullShare() const { return Mark.Stage == lastStage(); }
+  bool isAtFullShare() const { return CurrentStage.Stage == lastStage(); }
   const RolloutPlan &plan() const { return Plan; }
 
 private:
@@ -92,8 +96,8 @@
   std::vector<StageShare> Stages;
   CanaryJudge Judge;
   RolloutState State = RolloutState::Moving;
-  StageRecord Mark;
-  bool HasMark = false;
+  StageRecord CurrentStage;
+  bool HasCurrentStage = false;
   Instant EndedAt;
   Instant RefreshedAt;
   unsigned ForcedSteps = 0;
--- a/Libraries/LibDecision/RolloutKnowledge.cpp
+++ b/Libraries/LibDecision/RolloutKnowledge.cpp
@@ -52,7 +52,7 @@
     return false;
   known = mark;
   verifyInvariant(known.Stage >= before, "rollout-stage-never-goes-back",
-                  "a merge lowered the stage of a move");
+                  "a merge lowered the stage of a rollout");
   return true;
 }
 
--- a/Libraries/LibDecision/RolloutKnowledge.h
+++ b/Libraries/LibDecision/RolloutKnowledge.h
@@ -7,29 +7,31 @@
 
 namespace sorrelbay {
 
-/// Why a version was taken back.
+/// Why a version was rolled back.
 enum class RollbackReason {
   /// It fails more often than the old version.
   Failures,
-  /// It answers later than the old version.
+  /// It is late more often than the old version.
   Lateness,
-  /// The evidence for it could not be had before the deadline.
+  /// There was not enough evidence for it before the deadline.
   Deadline,
 };
 
-/// The word for the reason in status and logs.
+/// The name of the reason in status reports and logs.
 const char *toText(RollbackReason reason);
 
-/// A version is bad, and why. It holds for that version for good.
+/// The verdict that a version is bad, and why. It is permanent for that
+/// version.
 struct Veto {
   VersionId Version;
   Instant At;
-  /// The daemon that found out.
+  /// The daemon that detected the fault.
   HostId By;
   RollbackReason Reason = RollbackReason::Failures;
-  /// The route whose calls weighed most; empty if all together did.
+  /// The route with the strongest evidence; empty if it was that of all routes
+  /// together.
   RouteId OnRoute;
-  /// The judge's statistic when it decided.
+  /// The judge's statistic at the time of the decision.
   double Statistic = 0;
   EvidenceCount New;
   EvidenceCount Old;
@@ -37,8 +39,8 @@
 
 bool operator==(const Veto &a, const Veto &b);
 
-/// How far a version has got. Stages only go up; what share a stage means is
-/// worked out from the bundle.
+/// The stage of a version's rollout. Stages only increase. The share of a stage
+/// follows from the bundle.
 struct StageRecord {
   unsigned Stage = 0;
   /// When the first daemon took the step.
@@ -49,9 +51,10 @@
   }
 };
 
-/// All that daemons tell each other about moves. A join: vetoes are a set that
-/// only grows, stages go by maximum, evidence by maximum of each source. So it
-/// may be sent whole or in parts, twice, late and in any order.
+/// The state of rollouts that daemons replicate to each other. A join
+/// semilattice: the set of vetoes only grows, stages merge by maximum, evidence
+/// merges by maximum per source. It may therefore be sent whole or in parts,
+/// repeatedly, late and in any order.
 struct RolloutKnowledge {
   std::map<VersionId, Veto> Vetoes;
   std::map<VersionId, StageRecord> Stages;
@@ -60,26 +63,27 @@
 
 bool operator==(const RolloutKnowledge &a, const RolloutKnowledge &b);
 
-/// Adds a veto; of two for one version the earlier is kept, so that all
-/// daemons come to name the same reason. True if it is new here.
+/// Adds a veto. Of two vetoes for one version the earlier is kept, so that all
+/// daemons report the same reason. Returns true if the knowledge changed.
 bool addVeto(RolloutKnowledge &knowledge, const Veto &veto);
 
-/// Raises the stage, never lowers it. Of two daemons that took the same step
-/// the earlier one counts. True if anything changed.
+/// Raises the stage; never lowers it. If two daemons took the same step, the
+/// earlier time counts. Returns true if anything changed.
 bool raiseStage(RolloutKnowledge &knowledge, const VersionId &version,
                 const StageRecord &mark);
 
-/// Takes in what another daemon knows; true if anything was new.
+/// Merges the knowledge of another daemon. Returns true if anything changed.
 bool merge(RolloutKnowledge &into, const RolloutKnowledge &from);
 
-/// The vetoes and the stages, with the counters of those sources only.
+/// The vetoes, the stages and the counters of the sources for which `isWanted`
+/// holds.
 RolloutKnowledge
 partOf(const RolloutKnowledge &knowledge,
        const std::function<bool(const EvidenceSource &)> &isWanted);
 
-/// The part that a daemon tells its peers all the time: its own counters, the
-/// vetoes and the stages. The counters of others go along only now and then,
-/// for those that were cut off from them.
+/// The part that a daemon sends to its peers all the time: its own counters,
+/// the vetoes and the stages. The counters of other daemons are sent only now
+/// and then, for peers that were disconnected from those daemons.
 RolloutKnowledge ownPart(const RolloutKnowledge &knowledge,
                          const EvidenceSource &self);
 
--- a/Libraries/LibDecision/RolloutPlan.cpp
+++ b/Libraries/LibDecision/RolloutPlan.cpp
@@ -9,11 +9,11 @@
 
 static constexpr double ProbeShare = 0.02;
 static constexpr double StageGrowthFactor = 2;
-// The part of the full share that routes wait at for the others to follow.
+// The share of the full share at which routes wait for the others to catch up.
 static constexpr double MaxComparableShare = 0.9;
 
-/// The shares from the first replica on, without the full one.
-static std::vector<double> ladder(const RolloutPlan &plan) {
+/// The shares from the first replica on, up to but without the full share.
+static std::vector<double> growthShares(const RolloutPlan &plan) {
   std::vector<double> out;
   double share = std::max(plan.ReplicaShare, ProbeShare * StageGrowthFactor);
   for (; share < plan.FullShare * MaxComparableShare;
@@ -33,7 +33,7 @@
   double moved = 0;
   if (hasRepeatable) {
     out.push_back({probe, 0, true});
-    for (const double share : ladder(plan))
+    for (const double share : growthShares(plan))
       out.push_back({share, 0, false});
     moved = plan.FullShare * MaxComparableShare;
   }
@@ -41,7 +41,7 @@
     if (hasRepeatable)
       out.push_back({moved, 0, false});
     out.push_back({moved, probe, true});
-    for (const double share : ladder(plan))
+    for (const double share : growthShares(plan))
       out.push_back({moved, share, false});
   }
   out.push_back({plan.FullShare, plan.FullShare, false});
@@ -96,7 +96,8 @@
             [](const UpstreamId &a, const UpstreamId &b) {
               return stableHash(a.text()) < stableHash(b.text());
             });
-  // A little less than a whole replica's load more does not open another one.
+  // A replica may be overloaded by up to this factor before another one is
+  // used.
   constexpr double Overload = 1.1;
   const double wanted = std::ceil(share / (replicaShare * Overload));
   const auto count = static_cast<std::size_t>(std::max(1.0, wanted));
--- a/Libraries/LibDecision/WeightLoads.cpp
+++ b/Libraries/LibDecision/WeightLoads.cpp
@@ -3,10 +3,11 @@
 
 namespace sorrelbay {
 
-// What is kept spare of the time up to a deadline, as a factor on the rate.
-static constexpr double Spare = 1.25;
+// Factor on the required rate that leaves time to spare before the deadlines.
+static constexpr double RateHeadroom = 1.25;
 
-/// The bytes a second at which every load of the sorted list is in time.
+/// The rate in bytes per second at which every load of the sorted list finishes
+/// in time.
 static double neededRate(const std::vector<WeightLoad> &loads, Instant now) {
   double bytes = 0;
   double rate = 0;
@@ -24,7 +25,8 @@
                    [](const WeightLoad &a, const WeightLoad &b) {
                      return a.Deadline < b.Deadline;
                    });
-  const double rate = std::min(bytesPerSecond, Spare * neededRate(loads, now));
+  const double rate =
+      std::min(bytesPerSecond, RateHeadroom * neededRate(loads, now));
   std::vector<PlannedLoad> out;
   Instant free = now;
   for (const WeightLoad &it : loads) {
--- a/Libraries/LibDecision/WeightLoads.h
+++ b/Libraries/LibDecision/WeightLoads.h
@@ -7,16 +7,16 @@
 
 namespace sorrelbay {
 
-/// A version's weights that an upstream has to load from the weight store.
+/// The weights of a version that an upstream must load from the weight store.
 struct WeightLoad {
   UpstreamId TargetUpstream;
   VersionId OfVersion;
   std::int64_t Bytes = 0;
-  /// When the version must be able to serve there.
+  /// When the upstream must be able to serve the version.
   Instant Deadline;
 };
 
-/// A load with the time at which to order it and when it will be finished.
+/// A load with its start time and expected finish time.
 struct PlannedLoad {
   WeightLoad Load;
   Instant StartAt;
@@ -24,11 +24,12 @@
   bool IsInTime = true;
 };
 
-/// The loads in the order of their deadlines, one after the other, at the
-/// weight store's bytes a second: side by side they would all finish late
-/// together. They are spread over the time up to the deadlines with a quarter
-/// to spare, so that a replacement in an emergency finds the store free. Loads
-/// that can't be in time even at the full rate are marked.
+/// Schedules the loads one after the other by deadline, because concurrent
+/// loads that share the weight store's bandwidth would all finish late. The
+/// loads are spread over the time up to the deadlines at 1.25 times the
+/// required rate, or at the full rate if that is lower, so that the store has
+/// bandwidth left for an emergency replacement. Loads that cannot finish in
+/// time even at the full rate are marked.
 std::vector<PlannedLoad> planLoads(std::vector<WeightLoad> loads,
                                    double bytesPerSecond, Instant now);
 
--- a/Tests/LibDecision/HostPlannerSimulation.cpp
+++ b/Tests/LibDecision/HostPlannerSimulation.cpp
@@ -5,22 +5,24 @@
 
 static constexpr int DaemonCount = 3;
 static constexpr int EngineCount = 4;
-static constexpr Duration TroubleFor = minutes(6);
-static constexpr Duration QuietFor = minutes(3);
-/// Far above the lease's term, so that orders outlive their giver's term often.
-static constexpr int MostOrderDelayMs = 10000;
-static constexpr Duration OrderTimeout = milliseconds(MostOrderDelayMs);
+static constexpr Duration FaultPeriod = minutes(6);
+static constexpr Duration QuietPeriod = minutes(3);
+/// Much longer than the lease's term, so that commands often arrive after the
+/// term of their sender.
+static constexpr int MaxCommandDelayMs = 10000;
+static constexpr Duration OrderTimeout = milliseconds(MaxCommandDelayMs);
 static constexpr Duration StartTime = seconds(8);
 
-static LeaderLeaseSettings leaseSettings(HostPlannerFault flaw) {
+static LeaderLeaseSettings leaseSettings(HostPlannerFault injectedFault) {
   LeaderLeaseSettings settings;
   settings.Term = seconds(4);
   settings.OrderTimeout =
-      flaw == HostPlannerFault::NoWaitOut ? Duration{} : OrderTimeout;
+      injectedFault == HostPlannerFault::NoWaitForOldCommands ? Duration{}
+                                                              : OrderTimeout;
   return settings;
 }
 
-static HostPlannerSettings moverSettings() {
+static HostPlannerSettings plannerSettings() {
   HostPlannerSettings settings;
   settings.StartTime = StartTime;
   settings.RefusalPause = seconds(20);
@@ -29,8 +31,9 @@
 }
 
 HostPlannerSimulation::HostPlannerSimulation(std::uint64_t seed,
-                                             HostPlannerFault flaw)
-    : Random(seed), Flaw(flaw), NeedsLease(seed % 2 == 0), Now(seconds(1000)) {
+                                             HostPlannerFault injectedFault)
+    : Random(seed), InjectedFault(injectedFault), NeedsLease(seed % 2 == 0),
+      Now(seconds(1000)) {
   for (const char *zone : {"a", "b", "c"})
     Offers.push_back({ZoneId(zone), MachineClass("m"), true, 300, 1});
   Offers.push_back({ZoneId("a"), MachineClass("m"), false, 1000, 1});
@@ -38,9 +41,10 @@
     Engines.push_back({UpstreamId(std::to_string(n)), n % 2 == 0, {}, 0});
   for (int n = 0; n < DaemonCount; ++n)
     Daemons.emplace_back(
-        LeaderLease(IncarnationId(std::to_string(n)), leaseSettings(flaw)),
-        moverSettings(),
-        EngineCommands(flaw == HostPlannerFault::OverlappingOrders
+        LeaderLease(IncarnationId(std::to_string(n)),
+                    leaseSettings(injectedFault)),
+        plannerSettings(),
+        EngineCommands(injectedFault == HostPlannerFault::OverlappingCommands
                            ? Duration{}
                            : OrderTimeout));
 }
@@ -56,23 +60,23 @@
 bool HostPlannerSimulation::isStoreDown() const { return Now < StoreDownUntil; }
 
 std::string HostPlannerSimulation::run() {
-  const Instant quietFrom = Now + TroubleFor;
-  const Instant end = quietFrom + QuietFor;
-  while (Now < end && Broken.empty()) {
+  const Instant quietFrom = Now + FaultPeriod;
+  const Instant end = quietFrom + QuietPeriod;
+  while (Now < end && Violation.empty()) {
     Now += milliseconds(between(1, 40));
     IsQuiet = Now >= quietFrom;
-    stepWorld();
+    stepEnvironment();
     Daemon &daemon = Daemons[static_cast<std::size_t>(between(0, 2))];
     if (IsQuiet || Now >= daemon.PausedUntil)
       stepDaemon(daemon);
   }
-  if (Broken.empty())
-    checkQuiet();
-  return Broken;
+  if (Violation.empty())
+    checkFinalState();
+  return Violation;
 }
 
-void HostPlannerSimulation::stepWorld() {
-  deliverOrders();
+void HostPlannerSimulation::stepEnvironment() {
+  deliverCommands();
   for (Host &it : Hosts) {
     if (Now >= it.GoneAt)
       it.Listed.State = CloudHostState::Gone;
@@ -103,7 +107,7 @@
   }
 }
 
-void HostPlannerSimulation::deliverOrders() {
+void HostPlannerSimulation::deliverCommands() {
   std::vector<Delivery> later;
   for (const Delivery &it : Deliveries) {
     if (it.At > Now) {
@@ -117,7 +121,7 @@
       if (isOld && engine.HonoursFencing)
         continue;
       if (isOld)
-        Broken = "an old order took effect after a newer one";
+        Violation = "an old command took effect after a newer one";
       engine.FencingToken = it.Order.FencingToken;
       engine.Versions = it.Order.Versions;
     }
@@ -187,7 +191,7 @@
   switch (daemon.At) {
   case Round::None:
     if (daemon.Lease.isHeld(Now) && chance(50))
-      orderLevels(daemon);
+      commandEngines(daemon);
     else if (!NeedsLease || daemon.Lease.isHeld(Now))
       readPlan(daemon);
     return;
@@ -198,10 +202,10 @@
     storePlan(daemon);
     return;
   case Round::Stored:
-    giveOrders(daemon);
+    sendOrders(daemon);
     return;
-  case Round::LevelsRead:
-    orderLevels(daemon);
+  case Round::VersionsRead:
+    commandEngines(daemon);
     return;
   }
 }
@@ -221,7 +225,7 @@
   for (const Host &it : Hosts)
     if (it.ShownAt <= Now)
       shown.push_back(it.Listed);
-  // What create answered may not be listed yet.
+  // Created hosts may not be listed yet.
   for (const CloudHost &it : daemon.Hosts) {
     const bool isShown =
         std::any_of(shown.begin(), shown.end(),
@@ -235,9 +239,9 @@
     view.Offers = Offers;
     view.Hosts = shown;
     view.Capacity = Capacity;
-    daemon.Decision = daemon.Decides.decide(daemon.Plan, view, Now);
+    daemon.Decision = daemon.Planner.decide(daemon.Plan, view, Now);
     daemon.At = Round::Listed;
-    if (Flaw == HostPlannerFault::OrdersBeforeStored)
+    if (InjectedFault == HostPlannerFault::CreatesBeforeStored)
       for (const CreateOrder &it : daemon.Decision.Creates)
         create(daemon, it);
   };
@@ -266,15 +270,15 @@
 
 void HostPlannerSimulation::create(Daemon &daemon, const CreateOrder &order) {
   if (StoredTokens.count(order.Token) == 0)
-    Broken = "a host was ordered that no stored plan names";
+    Violation = "a host was created that no stored plan names";
   const auto known =
       std::find_if(Hosts.begin(), Hosts.end(), [&](const Host &it) {
         return it.Listed.Token == order.Token;
       });
-  const bool isKnown =
-      known != Hosts.end() && Flaw != HostPlannerFault::TokenPerTry;
+  const bool isKnown = known != Hosts.end() &&
+                       InjectedFault != HostPlannerFault::TokenPerAttempt;
   if (!isKnown && !IsQuiet && chance(25)) {
-    daemon.Decides.noteRefused(order.From, Now);
+    daemon.Planner.noteRefused(order.From, Now);
     return;
   }
   CloudHost host;
@@ -291,7 +295,7 @@
     daemon.Hosts.push_back(host);
 }
 
-void HostPlannerSimulation::giveOrders(Daemon &daemon) {
+void HostPlannerSimulation::sendOrders(Daemon &daemon) {
   if (!daemon.Decision.Creates.empty()) {
     create(daemon, daemon.Decision.Creates.back());
     daemon.Decision.Creates.pop_back();
@@ -301,16 +305,17 @@
     for (Host &it : Hosts)
       if (it.Listed.Id == id)
         it.GoneAt = Now;
-  // What is not listed by now was shown late or never made.
+  // Hosts that are still not listed were never created, or are listed late.
   if (chance(5))
     daemon.Hosts.clear();
-  daemon.At = Round::LevelsRead;
+  daemon.At = Round::VersionsRead;
 }
 
-// A pause between the check of the lease and the sending of an order to an
-// engine that takes any can't be excluded; there the next reading mends it.
-// Here both are one step, and what is sent arrives within the order timeout.
-void HostPlannerSimulation::orderLevels(Daemon &daemon) {
+// A pause between the check of the lease and the sending of a command cannot be
+// excluded for an engine that does not check fencing tokens; the next read-back
+// corrects it. The simulation makes both one step and delivers commands within
+// the command timeout.
+void HostPlannerSimulation::commandEngines(Daemon &daemon) {
   std::vector<EngineVersions> seen;
   for (const Engine &it : Engines)
     seen.push_back({it.Id, it.Versions, it.HonoursFencing, Now});
@@ -323,13 +328,13 @@
       if (!IsQuiet && chance(10))
         continue;
       Deliveries.push_back(
-          {Now + milliseconds(between(1, MostOrderDelayMs)), it});
+          {Now + milliseconds(between(1, MaxCommandDelayMs)), it});
     }
     daemon.At = Round::None;
   };
 }
 
-void HostPlannerSimulation::checkQuiet() {
+void HostPlannerSimulation::checkFinalState() {
   for (const Slot &slot : Plan.Slots) {
     int running = 0;
     for (const Host &it : Hosts)
@@ -337,15 +342,16 @@
           it.Listed.State == CloudHostState::Live)
         ++running;
     if (running != (slot.IsWanted ? 1 : 0))
-      Broken = "slot " + std::to_string(slot.Token.Slot) + " has " +
-               std::to_string(running) + " hosts at the end";
+      Violation = "slot " + std::to_string(slot.Token.Slot) + " has " +
+                  std::to_string(running) + " hosts at the end";
   }
   if (capacityAfterZoneLoss(mixOf(Plan)) < Capacity)
-    Broken = "the hosts at the end don't outlast the loss of a zone";
+    Violation =
+        "the hosts at the end lack the capacity after the loss of a zone";
   for (const Engine &it : Engines)
     if (it.Versions !=
         std::set<VersionId>{VersionId("v" + std::to_string(Generation))})
-      Broken = "an engine does not hold what it should at the end";
+      Violation = "an engine does not hold its wanted versions at the end";
 }
 
 } // namespace sorrelbay
--- a/Tests/LibDecision/HostPlannerSimulation.h
+++ b/Tests/LibDecision/HostPlannerSimulation.h
@@ -11,34 +11,35 @@
 
 namespace sorrelbay {
 
-/// How the movers of a run differ from the product's, so that the run's checks
-/// can be seen to catch it.
+/// A fault injected into the simulated daemons, to show that the checks detect
+/// it.
 enum class HostPlannerFault {
   None,
-  /// Each try at a create has a token of its own.
-  TokenPerTry,
-  /// A new holder does not wait out the last one's orders.
-  NoWaitOut,
-  /// An order is given while the one before may be under way.
-  OverlappingOrders,
-  /// Hosts are ordered before the plan that names them is stored.
-  OrdersBeforeStored,
+  /// Each attempt to create a host uses a new token.
+  TokenPerAttempt,
+  /// A new holder of the lease does not wait until the commands of the previous
+  /// one have arrived or expired.
+  NoWaitForOldCommands,
+  /// A command is sent while the previous one may be in flight.
+  OverlappingCommands,
+  /// Hosts are created before the plan with their tokens is stored.
+  CreatesBeforeStored,
 };
 
-/// Three movers, a store, a cloud and engines: replies and orders are late or
-/// lost, starts are refused, zones reclaimed, movers paused between any two
-/// steps, and the store has outages. It says what promise was broken, if any.
+/// Three daemons that plan hosts, with a store, a cloud and engines. Replies
+/// and commands are delayed or lost, starts are refused, zones are reclaimed,
+/// daemons are paused between any two steps, and the store has outages.
 class HostPlannerSimulation {
 public:
-  HostPlannerSimulation(std::uint64_t seed, HostPlannerFault flaw);
+  HostPlannerSimulation(std::uint64_t seed, HostPlannerFault injectedFault);
 
-  /// Runs through trouble, then quiet, and returns the first broken promise or
-  /// nothing.
+  /// Runs a period with faults and then one without. Returns the first
+  /// violation of an invariant, or an empty string.
   std::string run();
 
 private:
   enum class Outcome { Done, Conflict, Unavailable, Unknown };
-  enum class Round { None, PlanRead, Listed, Stored, LevelsRead };
+  enum class Round { None, PlanRead, Listed, Stored, VersionsRead };
   struct Host {
     CloudHost Listed;
     HostOffer From;
@@ -59,11 +60,11 @@
   struct Daemon {
     Daemon(LeaderLease lease, HostPlannerSettings settings,
            EngineCommands orders)
-        : Lease(std::move(lease)), Decides(settings),
+        : Lease(std::move(lease)), Planner(settings),
           Orders(std::move(orders)) {}
 
     LeaderLease Lease;
-    HostPlanner Decides;
+    HostPlanner Planner;
     EngineCommands Orders;
     Instant PausedUntil{};
     std::uint64_t Generation = 1;
@@ -72,34 +73,34 @@
     std::uint64_t PlanVersion = 0;
     std::vector<CloudHost> Hosts;
     HostPlannerDecision Decision;
-    /// What is left of a call whose effect was made: taking in its reply.
+    /// Processes the reply to a call that has already taken effect.
     std::function<void()> Reply;
   };
 
   int between(int low, int high);
   bool chance(int percent);
   bool isStoreDown() const;
-  void stepWorld();
+  void stepEnvironment();
   void reclaimZone();
-  void deliverOrders();
+  void deliverCommands();
   void stepDaemon(Daemon &daemon);
   void stepLease(Daemon &daemon);
   void stepRound(Daemon &daemon);
   void readPlan(Daemon &daemon);
   void listHosts(Daemon &daemon);
   void storePlan(Daemon &daemon);
-  void giveOrders(Daemon &daemon);
+  void sendOrders(Daemon &daemon);
   void create(Daemon &daemon, const CreateOrder &order);
-  void orderLevels(Daemon &daemon);
+  void commandEngines(Daemon &daemon);
   Outcome writeOutcome(bool isExpected);
-  void checkQuiet();
+  void checkFinalState();
 
   std::mt19937_64 Random;
-  HostPlannerFault Flaw;
+  HostPlannerFault InjectedFault;
   bool NeedsLease;
   bool IsQuiet = false;
   Instant Now;
-  std::string Broken;
+  std::string Violation;
 
   LeaseState Lease;
   HostPlan Plan;
--- a/Tests/LibDecision/RandomisedRollout.cpp
+++ b/Tests/LibDecision/RandomisedRollout.cpp
@@ -13,9 +13,8 @@
   return wanted == nullptr ? SeedsInCi : std::strtoull(wanted, nullptr, 10);
 }
 
-/// Several daemons with gossip that is lost, late and repeated, and daemons
-/// that restart and are paused.
-CanaryScenario troubled(const CanaryScenario &base) {
+/// Adds lost, delayed and repeated gossip, and daemons that restart or pause.
+CanaryScenario withFaults(const CanaryScenario &base) {
   CanaryScenario out = base;
   out.EndsWhenRolledBack = true;
   out.After = minutes(5);
@@ -27,30 +26,32 @@
   return out;
 }
 
-// A daemon that hears of the veto late stops by itself when it has not heard
-// from its peers for a second; the rest is the time of lost messages.
-constexpr Duration LongestAfterVeto = seconds(6);
-// A fault that shows at once is found while the share is small; one that shows
-// later, or only at a larger share, costs more calls.
-constexpr std::uint64_t MostCallsAtOnce = 700;
-constexpr std::uint64_t MostCallsLater = 1200;
+// A daemon that has not received the veto stops once its peers have not
+// answered for a second. The rest of the time allows for lost messages.
+constexpr Duration MaxSendAfterVeto = seconds(6);
+// A fault that shows at once is found while the share is small. One that shows
+// later, or only at a larger share, affects more calls.
+constexpr std::uint64_t MaxCallsForImmediateFault = 700;
+constexpr std::uint64_t MaxCallsForLateFault = 1200;
 
-/// What is wrong with the move, or nothing.
-std::string checkBadMove(const CanaryFault &fault, const MoveResult &result) {
-  const bool isAtOnce = fault.From <= 0 && !fault.OnlyUnderLoad;
+/// Returns what is wrong with the rollout, or an empty string.
+std::string checkBadRollout(const CanaryFault &fault,
+                            const MoveResult &result) {
+  const bool isImmediate = fault.From <= 0 && !fault.OnlyUnderLoad;
   if (!result.IsRolledBack)
-    return "not taken back";
-  if (result.CallsToFault > (isAtOnce ? MostCallsAtOnce : MostCallsLater))
+    return "not rolled back";
+  if (result.CallsToFault >
+      (isImmediate ? MaxCallsForImmediateFault : MaxCallsForLateFault))
     return std::to_string(result.CallsToFault) + " calls reached the fault";
   if (result.SentAgainstVeto > 0)
     return "sent by a daemon that knew of the veto";
-  if (result.LastAfterVeto > LongestAfterVeto)
+  if (result.LastAfterVeto > MaxSendAfterVeto)
     return "sent " + std::to_string(toMilliseconds(result.LastAfterVeto)) +
            " ms after the veto";
   return "";
 }
 
-/// A part of the mechanism left out, and a move that must then be found wrong.
+/// A variant without one mechanism, and a scenario whose check must then fail.
 struct VariantRow {
   CanaryVariant Variant;
   CanaryScenario Scenario;
@@ -58,19 +59,19 @@
 
 std::vector<VariantRow> variantRows() {
   const CanaryScenario base = deploymentScenarios().front();
-  CanaryScenario lateFault = troubled(base);
+  CanaryScenario lateFault = withFaults(base);
   lateFault.Fault = {"late", 0.2, 0, 1.05, false, {}};
-  CanaryScenario oneRoute = troubled(base);
+  CanaryScenario oneRoute = withFaults(base);
   oneRoute.Routes[0].Part = 0.8;
   oneRoute.Routes[1].Part = 0.15;
   oneRoute.Routes[2].Part = 0.05;
   oneRoute.Fault = {"one route", 0.05, 0, 0, false, base.Routes.back().Id};
-  CanaryScenario load = troubled(base);
+  CanaryScenario load = withFaults(base);
   load.Fault = {"load", 0.3, 0, 0, true, {}};
-  CanaryScenario split = troubled(base);
+  CanaryScenario split = withFaults(base);
   split.Hosts = 24;
   split.Fault = {"split", 0.05, 0, 0, false, {}};
-  CanaryScenario paused = troubled(base);
+  CanaryScenario paused = withFaults(base);
   paused.Fault = {"paused", 0.5, 0, 0.3, false, {}};
   paused.Pauses = 0.02;
   std::vector<VariantRow> out(5);
@@ -100,33 +101,34 @@
   for (std::uint64_t seed = 1; seed <= seedsToRun(); ++seed)
     for (const CanaryScenario &base : deploymentScenarios())
       for (const CanaryFault &fault : faultsOf(base)) {
-        CanaryScenario scenario = troubled(base);
+        CanaryScenario scenario = withFaults(base);
         scenario.Fault = fault;
         BOOST_TEST_INFO(base.Deployment << ", " << fault.Name << ", seed "
                                         << seed);
-        BOOST_CHECK_EQUAL(checkBadMove(fault, runMove(scenario, seed)), "");
+        BOOST_CHECK_EQUAL(checkBadRollout(fault, runMove(scenario, seed)), "");
       }
 }
 
 BOOST_AUTO_TEST_CASE(randomised_good_versions_move_in_time) {
   for (std::uint64_t seed = 1; seed <= seedsToRun(); ++seed)
     for (const CanaryScenario &base : deploymentScenarios()) {
-      const MoveResult result = runMove(troubled(base), seed);
+      const MoveResult result = runMove(withFaults(base), seed);
       BOOST_TEST_INFO(base.Deployment << ", seed " << seed);
       BOOST_CHECK(result.IsInTime);
     }
 }
 
-// Each part of the mechanism is there for one kind of fault. Left out, the same
-// check finds the callers whom the fault then reaches.
+// Each mechanism exists for one kind of fault. Without it, more callers reach
+// the faulty version, and the same check must fail.
 BOOST_AUTO_TEST_CASE(randomised_variants_are_found_wrong) {
   for (const VariantRow &row : variantRows()) {
     BOOST_TEST_INFO(row.Variant.Name);
     std::string fault;
     for (std::uint64_t seed = 1; seed <= 3 && fault.empty(); ++seed) {
       const CanaryFault &cause = row.Scenario.Fault;
-      fault = checkBadMove(cause, runMove(row.Scenario, seed, row.Variant));
-      BOOST_CHECK_EQUAL(checkBadMove(cause, runMove(row.Scenario, seed)), "");
+      fault = checkBadRollout(cause, runMove(row.Scenario, seed, row.Variant));
+      BOOST_CHECK_EQUAL(checkBadRollout(cause, runMove(row.Scenario, seed)),
+                        "");
     }
     BOOST_TEST_MESSAGE(row.Variant.Name << ": " << fault);
     BOOST_CHECK(!fault.empty());
--- a/Tests/LibDecision/TestHostPlanner.cpp
+++ b/Tests/LibDecision/TestHostPlanner.cpp
@@ -40,7 +40,7 @@
 }
 
 const MixRow MixRows[] = {
-    // Three of four in each of four zones, one of which may go.
+    // Three hosts in each of four zones, one of which may be lost.
     {"four zones",
      {reclaimable("a", 300), reclaimable("b", 300), reclaimable("c", 300),
       reclaimable("d", 300), onDemand(1000)},
@@ -52,12 +52,12 @@
      4,
      1,
      2400},
-    {"two dear zones are no better than on demand",
+    {"two expensive zones are no better than on demand",
      {reclaimable("a", 600), reclaimable("b", 600), onDemand(1000)},
      4,
      1,
      4000},
-    {"one zone alone outlasts nothing",
+    {"a single zone has no capacity after its loss",
      {reclaimable("a", 100), onDemand(1000)},
      4,
      1,
@@ -67,7 +67,7 @@
      4,
      0.5,
      3600},
-    {"a zone that brings no more",
+    {"a zone without available hosts",
      {atMost(reclaimable("a", 300), 0), reclaimable("b", 300),
       reclaimable("c", 400), onDemand(1000)},
      2,
@@ -87,20 +87,20 @@
   BOOST_CHECK_GE(capacityAfterZoneLoss(mix), row.Capacity);
 }
 
-// The next offer may be refused, too. Close to the deadline the move would miss
-// it while one cheap offer after the other is tried.
+// The cloud refuses a start shortly before the deadline. Trying one cheap offer
+// after the other, each of which may be refused, would miss the deadline.
 BOOST_AUTO_TEST_CASE(a_refused_start_near_the_deadline_goes_on_demand) {
   for (const bool isNear : {false, true}) {
-    HostPlanner mover;
+    HostPlanner planner;
     HostPlannerInput view;
     view.Offers = {reclaimable("a", 300), reclaimable("b", 300),
                    reclaimable("c", 300), onDemand(1000)};
     view.Capacity = 2;
     view.Deadline = Start + (isNear ? minutes(4) : minutes(60));
-    HostPlannerDecision decision = mover.decide({}, view, Start);
+    HostPlannerDecision decision = planner.decide({}, view, Start);
     BOOST_REQUIRE_EQUAL(decision.Creates.size(), 3U);
-    mover.noteRefused(decision.Creates[0].From, Start);
-    decision = mover.decide(decision.Plan, view, Start + seconds(1));
+    planner.noteRefused(decision.Creates[0].From, Start);
+    decision = planner.decide(decision.Plan, view, Start + seconds(1));
     int creates = 0;
     for (const CreateOrder &it : decision.Creates)
       creates += it.From.IsReclaimable == isNear ? 0 : 1;
@@ -109,7 +109,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(loads_go_by_deadline_and_leave_the_store_spare) {
+BOOST_AUTO_TEST_CASE(loads_go_by_deadline_and_leave_spare_bandwidth) {
   constexpr std::int64_t Gigabyte = 1000000000;
   const auto load = [](const char *engine, std::int64_t bytes, Duration in) {
     return WeightLoad{UpstreamId(engine), VersionId("v2"), bytes, Start + in};
@@ -139,9 +139,9 @@
     BOOST_CHECK(!parseToken(text, token));
 }
 
-// The holder of a lease is cut off while the store is down. When the store is
-// back, the others would wait a whole term more for what the holder has told
-// them already, and a window of usage would be missed.
+// The lease's holder fails during an outage of the store. Without the version
+// that the holder reported, the other daemons would wait a whole term after the
+// outage, and a usage window would be lost.
 BOOST_AUTO_TEST_CASE(what_the_holder_told_of_its_lease_counts_as_seen) {
   LeaderLeaseSettings settings;
   settings.Term = seconds(4);
@@ -157,8 +157,9 @@
   BOOST_TEST(!lease.isHeld(now + seconds(5)));
 }
 
-// A holder's renewal takes effect but its reply is lost. Reading back must find
-// that the lease is still its own, counted from the lost write's sending.
+// A lease renewal takes effect but its reply is lost. The next read must show
+// that the lease is still held, counted from the time at which the write was
+// sent.
 BOOST_AUTO_TEST_CASE(a_lost_renewal_is_found_by_reading) {
   LeaderLease lease(IncarnationId("me"));
   lease.noteRead({}, Start);
@@ -174,28 +175,28 @@
 
 namespace {
 
-struct FlawRow {
-  HostPlannerFault Flaw;
+struct InjectedFaultRow {
+  HostPlannerFault InjectedFault;
   const char *Wanted;
 };
 
-std::ostream &operator<<(std::ostream &out, const FlawRow &row) {
+std::ostream &operator<<(std::ostream &out, const InjectedFaultRow &row) {
   return out << row.Wanted;
 }
 
-const FlawRow FlawRows[] = {
-    {HostPlannerFault::TokenPerTry, "hosts at the end"},
-    {HostPlannerFault::NoWaitOut, "an old order took effect"},
-    {HostPlannerFault::OverlappingOrders, "an old order took effect"},
-    {HostPlannerFault::OrdersBeforeStored,
-     "a host was ordered that no stored plan"},
+const InjectedFaultRow InjectedFaultRows[] = {
+    {HostPlannerFault::TokenPerAttempt, "hosts at the end"},
+    {HostPlannerFault::NoWaitForOldCommands, "an old command took effect"},
+    {HostPlannerFault::OverlappingCommands, "an old command took effect"},
+    {HostPlannerFault::CreatesBeforeStored,
+     "a host was created that no stored plan"},
 };
 
 } // namespace
 
-// Movers race, are paused in the middle of a move and lose replies, starts are
-// refused and zones reclaimed. Operators would pay for hosts that nobody uses,
-// or an engine would drop the version that callers are sent to.
+// Several daemons plan hosts at once, are paused in the middle of a round and
+// lose replies; starts are refused and zones reclaimed. A fault would create
+// unused hosts or unload a version that callers are sent to.
 BOOST_AUTO_TEST_CASE(randomised_movers_buy_once_and_never_undo) {
   for (std::uint64_t seed = 1; seed <= soakSeeds(20); ++seed)
     BOOST_CHECK_MESSAGE(
@@ -204,12 +205,13 @@
                 << HostPlannerSimulation(seed, HostPlannerFault::None).run());
 }
 
-// The same run with flawed movers: the checks must see it.
+// The same runs with injected faults, which the checks must detect.
 BOOST_DATA_TEST_CASE(randomised_flawed_movers_are_caught,
-                     boost::unit_test::data::make(FlawRows), row) {
+                     boost::unit_test::data::make(InjectedFaultRows), row) {
   int caught = 0;
   for (std::uint64_t seed = 1; seed <= soakSeeds(20); ++seed) {
-    const std::string broken = HostPlannerSimulation(seed, row.Flaw).run();
+    const std::string broken =
+        HostPlannerSimulation(seed, row.InjectedFault).run();
     caught += broken.find(row.Wanted) != std::string::npos ? 1 : 0;
   }
   BOOST_TEST_MESSAGE(row.Wanted << ": " << caught);
--- a/Tests/LibDecision/TestLeavingUpstreams.cpp
+++ b/Tests/LibDecision/TestLeavingUpstreams.cpp
@@ -13,7 +13,7 @@
 const Instant Start{seconds(1000)};
 const UpstreamId Engine("127.0.0.9:1");
 
-/// A daemon that has ticked, heard a peer and asked the upstream at the start.
+/// A set that has ticked, and has answers from a peer and the upstream.
 LeavingUpstreams freshSet() {
   LeavingUpstreams set;
   set.noteTick(Start);
@@ -29,7 +29,7 @@
 
 struct VerdictRow {
   const char *Name;
-  std::function<void(LeavingUpstreams &)> Happens;
+  std::function<void(LeavingUpstreams &)> ApplyEvent;
   Duration AskedAfter;
   NewWork Wanted;
 };
@@ -46,13 +46,13 @@
        set.noteLeaving({Engine, Start + seconds(10)});
      },
      milliseconds(500), NewWork::Refused},
-    {"a notice, and the upstream's older word",
+    {"a notice, and an older confirmation of the upstream",
      [](LeavingUpstreams &set) {
        set.noteLeaving({Engine, Start + seconds(10)});
        set.noteStayConfirmed(Engine, Start);
      },
      milliseconds(500), NewWork::Refused},
-    {"the upstream's word is old",
+    {"the upstream's confirmation is old",
      [](LeavingUpstreams &set) { tickUntil(set, Start, Start + seconds(4)); },
      seconds(4), NewWork::AskUpstream},
     {"paused", [](LeavingUpstreams &) {}, seconds(20), NewWork::AskPeers},
@@ -98,45 +98,47 @@
 BOOST_DATA_TEST_CASE(says_whether_an_upstream_may_have_new_work,
                      boost::unit_test::data::make(VerdictRows), row) {
   LeavingUpstreams set = freshSet();
-  row.Happens(set);
+  row.ApplyEvent(set);
   BOOST_CHECK_EQUAL(set.newWorkFor(Engine, Start + row.AskedAfter), row.Wanted);
 }
 
 namespace {
 
-/// What the daemons of a run do with the set's verdict.
-enum class Obedience { Full, PeersNotAsked, NothingAsked };
+/// Which answers of the set the simulated daemons obey.
+enum class Compliance { Full, PeersNotAsked, NothingAsked };
 
 constexpr int Daemons = 5;
 constexpr int Upstreams = 4;
 constexpr Duration Step = milliseconds(50);
 constexpr Duration PollEvery = milliseconds(500);
-/// For how long someone may know that an upstream leaves before everyone must.
+/// The maximum time from the first knowledge that an upstream leaves until all
+/// daemons stop sending calls to it.
 constexpr Duration Bound = seconds(3);
 
-/// Daemons that poll each other, the host list and the upstreams, with lost
-/// and late answers and pauses of up to 30 s. Each leaving upstream is told of
-/// by a random choice of the sources, at least one, each late in its own way.
+/// Daemons that query each other, the host list and the upstreams, with lost
+/// and late answers and pauses of up to 30 s. Each leaving upstream is
+/// announced by a random non-empty subset of the sources, each with its own
+/// delay.
 class LeavingRun {
 public:
-  LeavingRun(std::uint64_t seed, Obedience obedience)
-      : Random(seed), Obeys(obedience), Sets(Daemons), PausedUntil(Daemons),
-        Inboxes(Daemons) {
+  LeavingRun(std::uint64_t seed, Compliance compliance)
+      : Random(seed), DaemonCompliance(compliance), Sets(Daemons),
+        PausedUntil(Daemons), Inboxes(Daemons) {
     for (int u = 0; u < Upstreams; ++u) {
       UpstreamPlan plan;
       plan.Id = UpstreamId(std::to_string(u));
       plan.NoticeAt = Start + seconds(between(5, 50));
       plan.GoneAt = plan.NoticeAt + seconds(between(2, 30));
-      plan.KnowsItself = chance(50);
+      plan.ReportsItself = chance(50);
       plan.IsListed = chance(50);
       plan.ListedAt = plan.NoticeAt + milliseconds(between(0, 4000));
-      if (!plan.KnowsItself && !plan.IsListed)
-        plan.TellsDaemon = between(0, Daemons - 1);
+      if (!plan.ReportsItself && !plan.IsListed)
+        plan.NotifiedDaemon = between(0, Daemons - 1);
       Plans.push_back(plan);
     }
   }
 
-  /// Whether an upstream got new work too late.
+  /// Whether an upstream received a new call after the bound.
   bool sendsTooLate() {
     for (Now = Start; Now < Start + seconds(90); Now += Step) {
       for (UpstreamPlan &plan : Plans)
@@ -152,16 +154,17 @@
     UpstreamId Id;
     Instant NoticeAt;
     Instant GoneAt;
-    bool KnowsItself = false;
+    bool ReportsItself = false;
     bool IsListed = false;
     Instant ListedAt;
-    int TellsDaemon = -1;
-    /// Since when somebody who can be asked has known without a break.
+    int NotifiedDaemon = -1;
+    /// Since when an upstream or daemon that answers queries has known without
+    /// interruption.
     Instant KnownSince = Instant::max();
   };
   struct Message {
     Instant ArrivesAt;
-    std::function<void(LeavingUpstreams &)> TakeIn;
+    std::function<void(LeavingUpstreams &)> DeliverTo;
   };
 
   int between(int low, int high) {
@@ -176,7 +179,7 @@
   }
 
   void trackKnown(UpstreamPlan &plan) {
-    bool isKnown = plan.KnowsItself && Now >= plan.NoticeAt;
+    bool isKnown = plan.ReportsItself && Now >= plan.NoticeAt;
     for (int d = 0; d < Daemons; ++d)
       isKnown = isKnown || (!isPaused(d) && set(d).isViewFresh(Now) &&
                             set(d).isLeaving(plan.Id, Now));
@@ -186,17 +189,17 @@
       plan.KnownSince = Now;
   }
 
-  void answer(int daemon, std::function<void(LeavingUpstreams &)> takeIn) {
+  void answer(int daemon, std::function<void(LeavingUpstreams &)> deliverTo) {
     constexpr int LostPercent = 15;
     if (chance(LostPercent))
       return;
     Inboxes[static_cast<std::size_t>(daemon)].push_back(
-        {Now + milliseconds(between(1, 400)), std::move(takeIn)});
+        {Now + milliseconds(between(1, 400)), std::move(deliverTo)});
   }
 
   void askUpstream(int daemon, const UpstreamPlan &plan) {
     const Instant askedAt = Now;
-    const bool isLeaving = plan.KnowsItself && Now >= plan.NoticeAt;
+    const bool isLeaving = plan.ReportsItself && Now >= plan.NoticeAt;
     answer(daemon, [plan, askedAt, isLeaving](LeavingUpstreams &set) {
       if (isLeaving)
         set.noteLeaving({plan.Id, plan.GoneAt});
@@ -226,7 +229,7 @@
         answer(daemon, [plan](LeavingUpstreams &set) {
           set.noteLeaving({plan.Id, plan.GoneAt});
         });
-      if (plan.TellsDaemon == daemon && Now >= plan.NoticeAt)
+      if (plan.NotifiedDaemon == daemon && Now >= plan.NoticeAt)
         set(daemon).noteLeaving({plan.Id, plan.GoneAt});
     }
     for (int peer = 0; peer < Daemons; ++peer)
@@ -234,12 +237,12 @@
         askPeer(daemon, peer);
   }
 
-  void takeIn(int daemon) {
+  void deliverTo(int daemon) {
     auto &inbox = Inboxes[static_cast<std::size_t>(daemon)];
     std::vector<Message> later;
     for (const Message &it : inbox) {
       if (it.ArrivesAt <= Now)
-        it.TakeIn(set(daemon));
+        it.DeliverTo(set(daemon));
       else
         later.push_back(it);
     }
@@ -254,12 +257,11 @@
           Now + milliseconds(between(100, 30000));
       return;
     }
-    // A call may be answered before the ticking thread and the inbox have had
-    // their turn.
+    // A call may be handled before the ticking thread and the inbox have run.
     if (chance(50))
       send(daemon);
     set(daemon).noteTick(Now);
-    takeIn(daemon);
+    deliverTo(daemon);
     if ((Now - Start) % PollEvery == Duration{})
       poll(daemon);
     send(daemon);
@@ -272,9 +274,9 @@
     case NewWork::Refused:
       return false;
     case NewWork::AskUpstream:
-      return Obeys == Obedience::NothingAsked;
+      return DaemonCompliance == Compliance::NothingAsked;
     case NewWork::AskPeers:
-      return Obeys != Obedience::Full;
+      return DaemonCompliance != Compliance::Full;
     }
     return false;
   }
@@ -289,7 +291,7 @@
   }
 
   std::mt19937_64 Random;
-  Obedience Obeys;
+  Compliance DaemonCompliance;
   std::vector<UpstreamPlan> Plans;
   std::vector<LeavingUpstreams> Sets;
   std::vector<Instant> PausedUntil;
@@ -298,10 +300,10 @@
   bool SentTooLate = false;
 };
 
-int runsTooLate(std::uint64_t seeds, Obedience obedience) {
+int runsTooLate(std::uint64_t seeds, Compliance compliance) {
   int n = 0;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed)
-    if (LeavingRun(seed, obedience).sendsTooLate()) {
+    if (LeavingRun(seed, compliance).sendsTooLate()) {
       ++n;
       BOOST_TEST_MESSAGE("sent too late with seed " << seed);
     }
@@ -311,17 +313,16 @@
 } // namespace
 
 // An upstream is to be reclaimed. The notice comes from the host list, the
-// upstream or a peer, some of them late or not at all, and daemons are paused
-// over it. A caller whose work still goes there loses its answer's upstream
-// within seconds.
+// upstream or a peer, partly late or not at all, while daemons are paused. A
+// call that is still sent there loses its upstream within seconds.
 BOOST_AUTO_TEST_CASE(randomised_leaving_upstreams_get_nothing_new) {
-  BOOST_CHECK_EQUAL(runsTooLate(soakSeeds(40), Obedience::Full), 0);
+  BOOST_CHECK_EQUAL(runsTooLate(soakSeeds(40), Compliance::Full), 0);
 }
 
-// The same runs with daemons that trust what they knew before a pause.
+// The same runs with daemons that use their state from before a pause.
 BOOST_AUTO_TEST_CASE(randomised_stale_views_are_caught) {
-  BOOST_CHECK_GT(runsTooLate(40, Obedience::PeersNotAsked), 0);
-  BOOST_CHECK_GT(runsTooLate(40, Obedience::NothingAsked), 0);
+  BOOST_CHECK_GT(runsTooLate(40, Compliance::PeersNotAsked), 0);
+  BOOST_CHECK_GT(runsTooLate(40, Compliance::NothingAsked), 0);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Tests/LibDecision/TestPeerChoice.cpp
+++ b/Tests/LibDecision/TestPeerChoice.cpp
@@ -15,10 +15,10 @@
 struct MeshRow {
   std::size_t Hosts;
   std::size_t Zones;
-  /// The most hops from any host to any other.
-  std::size_t MostHops;
-  /// The most connections of one host.
-  std::size_t MostLinks;
+  /// The maximum number of hops between any two hosts.
+  std::size_t MaxHops;
+  /// The maximum number of connections of one host.
+  std::size_t MaxLinks;
 };
 
 std::ostream &operator<<(std::ostream &out, const MeshRow &row) {
@@ -47,8 +47,7 @@
   return graph;
 }
 
-/// The hops to the farthest host, or the number of hosts if one is never
-/// reached.
+/// The hops to the farthest host, or the number of hosts if one is unreachable.
 std::size_t hopsFrom(const HostId &start, const Graph &graph) {
   std::map<HostId, std::size_t> hops{{start, 0}};
   std::deque<HostId> queue{start};
@@ -79,19 +78,19 @@
 
 BOOST_DATA_TEST_CASE(chosen_links_reach_all_in_few_hops,
                      boost::unit_test::data::make(MeshRows), row) {
-  std::size_t mostHops = 0;
-  std::size_t mostLinks = 0;
+  std::size_t maxHops = 0;
+  std::size_t maxLinks = 0;
   for (int seed = 0; seed < 5; ++seed) {
     const Graph graph = linksOf(candidates(row, seed));
     for (const auto &[host, links] : graph) {
-      mostLinks = std::max(mostLinks, links.size());
-      mostHops = std::max(mostHops, hopsFrom(host, graph));
+      maxLinks = std::max(maxLinks, links.size());
+      maxHops = std::max(maxHops, hopsFrom(host, graph));
     }
   }
-  BOOST_TEST_MESSAGE(row << ": " << mostHops << " hops, " << mostLinks
+  BOOST_TEST_MESSAGE(row << ": " << maxHops << " hops, " << maxLinks
                          << " links");
-  BOOST_CHECK_LE(mostHops, row.MostHops);
-  BOOST_CHECK_LE(mostLinks, row.MostLinks);
+  BOOST_CHECK_LE(maxHops, row.MaxHops);
+  BOOST_CHECK_LE(maxLinks, row.MaxLinks);
 }
 
 BOOST_AUTO_TEST_CASE(chosen_peers_cover_the_zones) {
@@ -111,7 +110,7 @@
 
 BOOST_AUTO_TEST_SUITE(PeerKnowledgeTests)
 
-BOOST_AUTO_TEST_CASE(merge_is_a_join_and_news_are_its_difference) {
+BOOST_AUTO_TEST_CASE(merge_is_a_join_and_deltas_are_its_difference) {
   PeerKnowledge a;
   a.Bundle = {7, "seven"};
   a.Leaving[UpstreamId("u1")] = Instant(seconds(10));
--- a/Tests/LibDecision/TestPlacement.cpp
+++ b/Tests/LibDecision/TestPlacement.cpp
@@ -98,8 +98,9 @@
                     row.Wanted != nullptr ? row.Wanted : "none");
 }
 
-// A burst comes between two load reports. A caller would wait behind all the
-// others at the one upstream that looked idle in the last report.
+// A burst arrives between two load reports. Without counting its own calls, the
+// daemon would send all of them to the upstream that the last report showed as
+// idle.
 BOOST_AUTO_TEST_CASE(counts_its_own_sends_since_the_report) {
   Placement placement;
   const std::vector<UpstreamState> upstreams = {upstream("1", 0, 0),
@@ -132,10 +133,10 @@
       0);
 }
 
-// A caller's address ran out and its next turn comes to another entry host,
-// which has seen nothing of the conversation. Its caller would wait for the
-// whole prompt to be computed again somewhere else.
-BOOST_AUTO_TEST_CASE(daemons_agree_on_a_home_without_a_word) {
+// The next turn of a conversation goes to an entry host that has not seen the
+// conversation, because the caller's address expired. A different choice of
+// upstream would recompute the whole prompt.
+BOOST_AUTO_TEST_CASE(daemons_agree_on_a_home_without_communication) {
   const std::vector<UpstreamState> upstreams = {
       upstream("1", 0, 0), upstream("2", 0, 0), upstream("3", 0, 0)};
   for (int n = 0; n < 50; ++n) {
--- a/Tests/LibDecision/TestRecoveryPlan.cpp
+++ b/Tests/LibDecision/TestRecoveryPlan.cpp
@@ -21,7 +21,7 @@
 const UpstreamId B("b");
 const UpstreamId C("c");
 
-/// Three engines of two zones with room for two answers each.
+/// Three engines in two zones with capacity for two answers each.
 RecoveryPlan smallPlan(const RecoverySettings &settings = {}) {
   RecoveryPlan plan(settings);
   plan.setUpstream(A, ZoneId("z1"), 2);
@@ -42,8 +42,8 @@
   std::size_t Resumes;
 };
 
-/// At 30 tokens a second, and with 1,100 tokens of context whose cache takes
-/// 0.29 s to move and whose prefix takes 0.28 s to compute.
+/// At 30 tokens per second and with a context of 1,100 tokens, whose cache
+/// takes 0.29 s to move and whose prefill takes 0.28 s.
 const ChoiceRow ChoiceRows[] = {
     {"finishes in place", 200, 30, 0, 0},
     {"is moved", 2000, 30, 1, 0},
@@ -90,8 +90,8 @@
   return out << row.Name;
 }
 
-/// A fleet under that wave; the seed draws notices of 2 to 30 s and where the
-/// second wave falls into the first.
+/// A fleet with the reclaims of `wave`. The seed determines notices of 2 to 30
+/// s and the time of the second wave, which begins during the first.
 FleetSettings fleetUnder(const WaveRow &wave, const WireFaults &faults,
                          std::uint64_t seed) {
   std::mt19937_64 random(seed);
@@ -118,13 +118,13 @@
   return settings;
 }
 
-/// Whether every caller has its text byte for byte and no engine was loaded
-/// beyond its capacity.
+/// Whether every caller received its text byte for byte and no engine exceeded
+/// its capacity.
 bool holds(const FleetResult &result) {
   return result.Whole == result.Answers && result.MostOverload == 0;
 }
 
-/// How many of the seeds a variant of the settings fails.
+/// The number of seeds that fail with a variant of the settings.
 template <typename Variant>
 std::uint64_t failing(const WaveRow &wave, const WireFaults &faults,
                       Variant variant) {
@@ -163,9 +163,9 @@
   BOOST_TEST(plan.load(A) == 0U);
 }
 
-// Both engines that are left are full. An answer more would slow all that they
-// serve; it waits until a place is free, and no new call takes that place: in
-// a bench run new calls kept answers waiting for 39 s.
+// All remaining engines are full. Another answer would slow down those that
+// they serve, so it waits. New calls must not take the next free place: in a
+// benchmark run they kept answers waiting for 39 s.
 BOOST_AUTO_TEST_CASE(without_room_an_answer_waits) {
   RecoveryPlan plan = smallPlan();
   plan.open(answer("1", 100, 2000), A);
@@ -184,7 +184,7 @@
   BOOST_TEST(plan.mayAdmit(C));
 }
 
-// The engine to which a cache is on its way is reclaimed too.
+// The target engine of a running cache move is reclaimed, too.
 BOOST_AUTO_TEST_CASE(a_second_wave_redirects_what_is_under_way) {
   RecoveryPlan plan = smallPlan();
   plan.open(answer("1", 100, 2000), A);
@@ -208,8 +208,9 @@
   BOOST_TEST(actions.Resumes[0].Recomputed == 200U);
 }
 
-// A connection falls silent while its engine is well: something between the two
-// ends has lost track of it. The engine is asked once more, and only then left.
+// A connection times out although its engine is healthy, for example because a
+// device between the two ends lost its state. The engine is tried once more
+// before another one is used.
 BOOST_AUTO_TEST_CASE(a_lost_connection_is_replaced_before_the_engine_is) {
   RecoveryPlan plan = smallPlan();
   plan.open(answer("1", 100, 2000), A);
@@ -223,8 +224,9 @@
   BOOST_CHECK(actions.Resumes[0].To != A);
 }
 
-// All engines that are listed have died, and others come up a moment later.
-// Asked again at once, the dead ones used up an answer's attempts in between.
+// All listed engines have failed, and new ones are listed a moment later.
+// Retrying the failed ones at once would use up the answer's attempts before
+// that.
 BOOST_AUTO_TEST_CASE(an_engine_that_fails_an_answer_is_avoided_for_a_while) {
   RecoveryPlan plan = smallPlan();
   plan.open(answer("1", 100, 2000), A);
@@ -241,15 +243,16 @@
   BOOST_TEST(actions.Resumes.empty());
   BOOST_TEST(plan.tick(Start + milliseconds(249)).Resumes.empty());
   BOOST_TEST(plan.tick(Start + milliseconds(250)).Resumes.size() == 1U);
-  // News of an attempt that the plan has left already changes nothing.
+  // A late report about an attempt that was already replaced has no effect.
   BOOST_TEST(plan.attemptLost(Start, RequestId("1"), UpstreamId("other"),
                               AttemptLoss::Upstream)
                  .Resumes.empty());
 }
 
-// Engines are reclaimed with 2 to 30 s of notice, alone or by the zone and in a
-// second wave, while the wire loses, delays, crosses, repeats and cuts. A user
-// would see a text that stops, stutters or holds another's words.
+// Engines are reclaimed with 2 to 30 s of notice, one at a time, by zone or in
+// two waves, while the network loses, delays, misroutes, duplicates and
+// truncates messages. A fault shows as a text that is cut off, has repeated
+// tokens or contains those of another answer.
 BOOST_DATA_TEST_CASE(randomised_reclaims_leave_every_text_whole,
                      boost::unit_test::data::make(WaveRows) *
                          boost::unit_test::data::make(FaultRows),
@@ -262,7 +265,7 @@
   }
 }
 
-// The same check must see each mechanism missing.
+// The same check must fail without each mechanism.
 BOOST_DATA_TEST_CASE(randomised_runs_without_checked_arrivals_fail,
                      boost::unit_test::data::make(FaultRows), faults) {
   const bool touchesTokens = faults.Faults.Lost + faults.Faults.Late +
--- a/Tests/LibDecision/TestRollout.cpp
+++ b/Tests/LibDecision/TestRollout.cpp
@@ -30,7 +30,7 @@
   return out;
 }
 
-/// The part of 1,000 keys that go to the new version.
+/// The number of 1,000 keys that go to the new version.
 int keysToNew(const VersionShares &shares, bool isRepeatable, Instant now) {
   int sum = 0;
   for (int n = 0; n < 1000; ++n)
@@ -69,8 +69,9 @@
   BOOST_CHECK_EQUAL(sum.Calls, 2U);
 }
 
-// A booking that failed may have run, and nobody may try it again. If bookings
-// moved with the lookups, each fault would leave some in doubt.
+// A booking that failed may have run and must not be retried. If bookings were
+// rolled out together with the lookups, each fault would leave some of them
+// with an unknown outcome.
 BOOST_AUTO_TEST_CASE(routes_that_may_not_be_repeated_move_last) {
   const auto stages = stagesOf(planFor(DeadlinePolicy::Safe));
   double before = 0;
@@ -102,9 +103,9 @@
   }
 }
 
-// A daemon is paused while another one finds the version bad. When it goes on,
-// calls wait in its sockets before the veto does, and callers of this host
-// alone would meet the bad version again.
+// A daemon is paused while another one vetoes the version. After the pause, its
+// sockets deliver calls before the veto, and its callers would reach the bad
+// version.
 BOOST_AUTO_TEST_CASE(a_daemon_that_was_paused_asks_before_it_sends_more) {
   RolloutKnowledge knowledge;
   raiseStage(knowledge, VersionId("new"), {3, Start});
@@ -117,8 +118,8 @@
   BOOST_CHECK_GT(keysToNew(rollout.shares(), true, Start), 300);
   const Instant resumed = Start + seconds(20);
   BOOST_CHECK_EQUAL(keysToNew(rollout.shares(), true, resumed), 0);
-  // An answer to a question from before the pause is no news, and one peer
-  // that may have been paused as well is not enough.
+  // An answer to a query from before the pause does not count, and a single
+  // peer, which may have been paused as well, is not enough.
   peers.answered(HostId("127.0.0.2"), resumed);
   peers.answered(HostId("127.0.0.3"), Start + milliseconds(100));
   rollout.refreshed(peers.knownUntil(3));
@@ -141,8 +142,8 @@
   BOOST_CHECK(rollout.state() == RolloutState::TakenBack);
 }
 
-// Most hosts of a large fleet hear steps and vetoes, but no evidence but their
-// own. By that alone one of them would move the whole fleet on.
+// Most hosts of a large fleet receive steps and vetoes, but only their own
+// evidence. It would be too little to decide on a step for the whole fleet.
 BOOST_AUTO_TEST_CASE(a_follower_takes_over_steps_and_takes_none) {
   RolloutKnowledge knowledge;
   Rollout rollout(planFor(DeadlinePolicy::InTime), Self);
@@ -160,8 +161,8 @@
   BOOST_CHECK(rollout.state() == RolloutState::TakenBack);
 }
 
-// Nobody calls the new version's routes, so there is nothing to judge by. One
-// deployment would rather be in time, the other rather be sure.
+// The new version receives no calls, so there is no evidence. The deadline
+// policy decides between completing in time and rolling back.
 BOOST_AUTO_TEST_CASE(the_deadline_policy_decides_without_evidence) {
   for (const auto policy : {DeadlinePolicy::InTime, DeadlinePolicy::Safe}) {
     RolloutKnowledge knowledge;
