--- a/Libraries/LibDecision/EngineCommands.cpp
+++ b/Libraries/LibDecision/EngineCommands.cpp
@@ -18,7 +18,7 @@
 EngineCommands::decide(const std::map<UpstreamId, std::set<VersionId>> &wanted,
                        const std::vector<EngineVersions> &seen,
                        const LeaderLease &lease, Instant now) {
-  std::vector<EngineCommand> orders;
+  std::vector<EngineCommand> pendingCommands;
   for (const EngineVersions &it : seen) {
     const auto found = wanted.find(it.Engine);
     if (found == wanted.end() || found->second == it.Versions ||
@@ -27,9 +27,9 @@
     verifyInvariant(lease.isHeld(now), "only the lease's holder gives orders",
                     "a command was sent without holding the lease");
     InFlightUntil[it.Engine] = now + OrderTimeout;
-    orders.push_back({it.Engine, found->second, lease.fencing()});
+    pendingCommands.push_back({it.Engine, found->second, lease.fencing()});
   }
-  return orders;
+  return pendingCommands;
 }
 
 } // namespace sorrelbay
--- a/Libraries/LibDecision/EngineCommands.h
+++ b/Libraries/LibDecision/EngineCommands.h
@@ -32,9 +32,10 @@
 /// Computes the commands that bring engines to their desired versions.
 class EngineCommands {
 public:
-  /// A command that has not reached its engine within `orderTimeout` never
+  /// A command that has not reached its engine within `commandTimeout` never
   /// will.
-  explicit EngineCommands(Duration orderTimeout) : OrderTimeout(orderTimeout) {}
+  explicit EngineCommands(Duration commandTimeout)
+      : OrderTimeout(commandTimeout) {}
 
   /// Returns the commands to send now, or none if this daemon does not hold the
   /// lease. Engines missing from `wanted` are left alone. An engine that does
--- a/Libraries/LibDecision/PeerKnowledge.cpp
+++ b/Libraries/LibDecision/PeerKnowledge.cpp
@@ -72,7 +72,7 @@
 
 static RolloutKnowledge deltaFor(const RolloutKnowledge &mine,
                                  const RolloutKnowledge &theirs) {
-  RolloutKnowledge news;
+  RolloutKnowledge difference;
   // Only the merge decides which of two vetoes or stages wins, so test whether
   // merging changes the peer's entry.
   for (const auto &[version, veto] : mine.Vetoes) {
@@ -80,38 +80,38 @@
     if (const auto it = theirs.Vetoes.find(version); it != theirs.Vetoes.end())
       known.Vetoes.insert(*it);
     if (addVeto(known, veto))
-      news.Vetoes.emplace(version, veto);
+      difference.Vetoes.emplace(version, veto);
   }
   for (const auto &[version, mark] : mine.Stages) {
     RolloutKnowledge known;
     if (const auto it = theirs.Stages.find(version); it != theirs.Stages.end())
       known.Stages.insert(*it);
     if (raiseStage(known, version, mark))
-      news.Stages.emplace(version, mark);
+      difference.Stages.emplace(version, mark);
   }
   for (const auto &[source, counts] : mine.Evidence.sources())
     for (const auto &[key, count] : counts)
       if (!isCovered(count, countOf(theirs.Evidence, source, key)))
-        news.Evidence.mergeCount(source, key, count);
-  return news;
+        difference.Evidence.mergeCount(source, key, count);
+  return difference;
 }
 
 PeerKnowledge deltaFor(const PeerKnowledge &mine, const PeerKnowledge &theirs) {
-  PeerKnowledge news;
+  PeerKnowledge difference;
   if (theirs.Bundle < mine.Bundle)
-    news.Bundle = mine.Bundle;
+    difference.Bundle = mine.Bundle;
   for (const auto &[upstream, until] : mine.Leaving) {
     const auto it = theirs.Leaving.find(upstream);
     if (it == theirs.Leaving.end() || it->second < until)
-      news.Leaving.emplace(upstream, until);
+      difference.Leaving.emplace(upstream, until);
   }
   for (const auto &[host, report] : mine.Hosts) {
     const auto it = theirs.Hosts.find(host);
     if (it == theirs.Hosts.end() || isNewer(report, it->second))
-      news.Hosts.emplace(host, report);
+      difference.Hosts.emplace(host, report);
   }
-  news.Rollout = deltaFor(mine.Rollout, theirs.Rollout);
-  return news;
+  difference.Rollout = deltaFor(mine.Rollout, theirs.Rollout);
+  return difference;
 }
 
 bool isEmpty(const RolloutKnowledge &knowledge) {
--- a/Tests/LibDecision/HostPlannerSimulation.cpp
+++ b/Tests/LibDecision/HostPlannerSimulation.cpp
@@ -115,15 +115,15 @@
       continue;
     }
     for (Engine &engine : Engines) {
-      if (engine.Id != it.Order.Engine)
+      if (engine.Id != it.Command.Engine)
         continue;
-      const bool isOld = it.Order.FencingToken < engine.FencingToken;
+      const bool isOld = it.Command.FencingToken < engine.FencingToken;
       if (isOld && engine.HonoursFencing)
         continue;
       if (isOld)
         Violation = "an old command took effect after a newer one";
-      engine.FencingToken = it.Order.FencingToken;
-      engine.Versions = it.Order.Versions;
+      engine.FencingToken = it.Command.FencingToken;
+      engine.Versions = it.Command.Versions;
     }
   }
   Deliveries = later;
@@ -324,7 +324,7 @@
     for (const Engine &it : Engines)
       wanted[it.Id] = {VersionId("v" + std::to_string(daemon.Generation))};
     for (const EngineCommand &it :
-         daemon.Orders.decide(wanted, seen, daemon.Lease, Now)) {
+         daemon.PlannedCommands.decide(wanted, seen, daemon.Lease, Now)) {
       if (!IsQuiet && chance(10))
         continue;
       Deliveries.push_back(
--- a/Tests/LibDecision/HostPlannerSimulation.h
+++ b/Tests/LibDecision/HostPlannerSimulation.h
@@ -55,17 +55,17 @@
   };
   struct Delivery {
     Instant At;
-    EngineCommand Order;
+    EngineCommand Command;
   };
   struct Daemon {
     Daemon(LeaderLease lease, HostPlannerSettings settings,
-           EngineCommands orders)
+           EngineCommands plannedCommands)
         : Lease(std::move(lease)), Planner(settings),
-          Orders(std::move(orders)) {}
+          PlannedCommands(std::move(plannedCommands)) {}
 
     LeaderLease Lease;
     HostPlanner Planner;
-    EngineCommands Orders;
+    EngineCommands PlannedCommands;
     Instant PausedUntil{};
     std::uint64_t Generation = 1;
     Round At = Round::None;
