--- a/Libraries/LibDecision/EngineCommands.cpp
+++ b/Libraries/LibDecision/EngineCommands.cpp
@@ -3,12 +3,12 @@
 
 namespace sorrelbay {
 
-bool EngineCommands::mayOrder(const EngineVersions &engine,
-                              const LeaderLease &lease, Instant now) const {
+bool EngineCommands::mayCommand(const EngineVersions &engine,
+                                const LeaderLease &lease, Instant now) const {
   if (engine.HonoursFencing)
-    return lease.mayOrder(now);
-  const auto underWay = InFlightUntil.find(engine.Engine);
-  if (underWay != InFlightUntil.end() && now <= underWay->second)
+    return lease.mayCommand(now);
+  const auto inFlightUntil = InFlightUntil.find(engine.Engine);
+  if (inFlightUntil != InFlightUntil.end() && now <= inFlightUntil->second)
     return false;
   return lease.mayCommandUnfenced(now) &&
          engine.AskedAt >= lease.unfencedFrom();
@@ -18,18 +18,18 @@
 EngineCommands::decide(const std::map<UpstreamId, std::set<VersionId>> &wanted,
                        const std::vector<EngineVersions> &seen,
                        const LeaderLease &lease, Instant now) {
-  std::vector<EngineCommand> orders;
+  std::vector<EngineCommand> pendingCommands;
   for (const EngineVersions &it : seen) {
     const auto found = wanted.find(it.Engine);
     if (found == wanted.end() || found->second == it.Versions ||
-        !mayOrder(it, lease, now))
+        !mayCommand(it, lease, now))
       continue;
     verifyInvariant(lease.isHeld(now), "only the lease's holder gives orders",
-                    "an order without the lease");
+                    "a command was sent without holding the lease");
     InFlightUntil[it.Engine] = now + OrderTimeout;
-    orders.push_back({it.Engine, found->second, lease.fencing()});
+    pendingCommands.push_back({it.Engine, found->second, lease.fencing()});
   }
-  return orders;
+  return pendingCommands;
 }
 
 } // namespace sorrelbay
