--- a/Services/sorrelbayd/DutyLease.h
+++ b/Services/sorrelbayd/DutyLease.h
@@ -6,21 +6,21 @@
 
 namespace sorrelbay {
 
-/// Holds, or tries to hold, the one lease for all duties, as a conditional
-/// write in the platform's store. While a peer says that it holds the lease,
-/// the store isn't asked. Belongs to the loop's thread.
+/// Acquires and renews the single lease for all duties by conditional writes to
+/// the platform's store. While a peer reports that it holds the lease, the
+/// store is not queried. Used only on the event loop's thread.
 class DutyLease {
 public:
   explicit DutyLease(GatewayState &state);
 
-  /// To be called several times a second.
+  /// Performs the periodic work; call it several times a second.
   void tick(Instant now);
-  /// Whether duties may be exercised now.
+  /// Whether this host holds the lease and may exercise the duties.
   bool isHeld(Instant now) const { return Lease.isHeld(now); }
   LeaseHolder stamp() const;
-  /// Puts the lease that is held into what is reported to peers.
+  /// Adds the lease, if it is held, to this host's entry for reports to peers.
   void tell(FleetMember &self, Instant now) const;
-  /// Grows each time that the lease is taken anew.
+  /// Number of the term; increases each time the lease is acquired.
   std::uint64_t term() const { return FencingToken; }
 
 private:
@@ -31,10 +31,11 @@
 
   GatewayState &State;
   LeaderLease Lease;
-  /// The number of the holder that the store last showed, and of this one.
+  /// The highest fencing token seen in the store or in peers' reports, and this
+  /// host's own.
   std::uint64_t SeenFencing = 0;
   std::uint64_t FencingToken = 0;
-  /// Writes of the lease by this process.
+  /// Lease writes by this process.
   std::uint64_t Renewals = 0;
   bool IsWaiting = false;
   bool WasHeld = false;
--- a/Services/sorrelbayd/Gateway.h
+++ b/Services/sorrelbayd/Gateway.h
@@ -17,10 +17,11 @@
 
 namespace sorrelbay {
 
-/// A serving daemon on a platform whose store holds the operators' plan: what
-/// listens, what watches the store, what speaks with peers, and the duties. One
-/// worker runs the event loop, because a host has about one core and every
-/// table then needs no lock; log lines are written by a thread of their own.
+/// The serving daemon for platforms whose store holds the operators' plan. Owns
+/// the listeners, the store watchers, the links to peers and the duties. One
+/// worker thread runs the event loop: a host has about one core, and with a
+/// single thread no table needs a lock. The log is written by a separate
+/// thread.
 class Gateway {
 public:
   using MakeHooks = std::function<GatewayHooks(boost::asio::io_context &)>;
@@ -30,13 +31,14 @@
   Gateway(const Gateway &) = delete;
   Gateway &operator=(const Gateway &) = delete;
 
-  /// Starts to listen and to work. Throws HttpListenFailed and
-  /// PeerListenFailed.
+  /// Opens the listeners and starts the worker thread. Throws HttpListenFailed
+  /// and PeerListenFailed.
   void start();
-  /// A planned stop: gets out of the address lookups, serves what still comes,
-  /// and returns when callers have gone or the grace is over.
+  /// Stops gracefully: removes this host from address lookups, keeps serving
+  /// calls that still arrive, and returns once all callers have disconnected or
+  /// the grace period is over.
   void stop();
-  /// Where callers connect, with the port that was chosen.
+  /// The address callers connect to, with the port that was assigned.
   std::string callerAddress() const { return Callers->address(); }
 
 private:
@@ -73,7 +75,7 @@
   std::unique_ptr<ResourceWatcher> Plans;
   std::unique_ptr<ResourceWatcher> Replicas;
   std::unique_ptr<ResourceWatcher> RolloutOrders;
-  /// Nothing where zones are not evacuated.
+  /// Null if the deployment does not evacuate zones.
   std::unique_ptr<ResourceWatcher> Evacuations;
   boost::asio::steady_timer TickTimer;
   std::thread Worker;
--- a/Services/sorrelbayd/GatewayCall.h
+++ b/Services/sorrelbayd/GatewayCall.h
@@ -12,19 +12,20 @@
 
 namespace sorrelbay {
 
-/// One attempt of a caller from its reading to its end: who it belongs to,
-/// whether it is let in, where it is sent, and what its caller gets. It keeps
-/// itself alive through its hooks, which all go with its end.
+/// Serves one caller request from start to end: identifies its team, admits or
+/// rejects it, chooses upstreams, and relays the response. The object is kept
+/// alive by the shared pointers in its callbacks and is destroyed with the last
+/// of them.
 class GatewayCall : public std::enable_shared_from_this<GatewayCall> {
 public:
-  /// Serves the request; returns at once.
+  /// Starts serving the request and returns without waiting for it.
   static void serve(GatewayState &state,
                     std::shared_ptr<HttpExchange> exchange);
 
   GatewayCall(GatewayState &state, std::shared_ptr<HttpExchange> exchange);
 
 private:
-  /// One send to an upstream.
+  /// One attempt to send the call to an upstream.
   struct Send {
     UpstreamId Replica;
     Instant At{};
@@ -35,7 +36,7 @@
     HttpReplyHead Head;
     VersionId OfVersion;
     Instant FirstByteAt{};
-    /// What it was expected to meet there.
+    /// The prompt tokens and delays that were expected at the upstream.
     ReplicaChoice Expected;
   };
 
@@ -68,7 +69,8 @@
   void passOn(std::string_view bytes);
   void finishResponse();
   void noteCallStarted();
-  /// The final answer of our own.
+  /// Ends the call without an upstream's response: with an error response or,
+  /// if a response has begun, by aborting it.
   void finishLocally(const char *cause);
   void refuse(int status, const char *cause,
               std::optional<Duration> retryAfter);
--- a/Services/sorrelbayd/GatewayFleet.h
+++ b/Services/sorrelbayd/GatewayFleet.h
@@ -11,45 +11,48 @@
 
 namespace sorrelbay {
 
-/// What the rest of the daemon adds to its reports and takes from others'.
+/// Callbacks by which the rest of the daemon adds to this host's reports and
+/// receives data from peers.
 struct GatewayFleetHooks {
-  /// This host as its peers should know it; its addresses are filled in here.
+  /// This host's entry for its reports. GatewayFleet fills in host, zone, peer
+  /// address and capacity.
   std::function<FleetMember()> Self;
-  /// What is known of moves by the hosts that the scope covers.
+  /// Encoded rollout knowledge of the hosts that the scope covers.
   std::function<std::string(ReportScope)> Moves;
   std::function<void(const std::string &)> OnPeerRollouts;
-  /// Another host has passed on news of the store.
+  /// A peer relayed changes from the store.
   std::function<void(const RelayedChanges &)> OnRelayedChanges;
 };
 
-/// This host's part in the fleet: finds the others in the store, tells them
-/// what is open here, takes in what they tell, and passes on what the store
-/// told where it aggregates for others. Belongs to the loop's thread.
+/// Connects this host to the fleet: discovers peers through the store,
+/// publishes this host's open work, merges peers' reports, and relays store
+/// changes to the hosts it aggregates for. Used only on the event loop's
+/// thread.
 class GatewayFleet {
 public:
   GatewayFleet(GatewayState &state, GatewayFleetHooks hooks);
 
-  /// Listens for peers. Throws PeerListenFailed.
+  /// Opens the listener for peers. Throws PeerListenFailed.
   void listen();
-  /// Begins to look for peers.
+  /// Starts peer discovery.
   void start();
-  /// Gets out of the store's list of hosts.
+  /// Removes this host's entry from the store.
   void leave();
-  /// To be called several times a second.
+  /// Performs the periodic work; call it several times a second.
   void tick(Instant now);
   void publish(Instant now);
-  /// Tells the peers at once what is open, but no more than every few
-  /// milliseconds.
+  /// Publishes a report now, unless the last one is only milliseconds old.
   void publishSoon();
-  /// The store has reported to this host; it passes that on to those that it
-  /// aggregates for.
+  /// Relays the changes that a store watch returned to the hosts this host
+  /// aggregates for; does nothing if there are none. `begun` is the start of
+  /// the store call.
   void passOn(ResourceKind kind, std::uint64_t from,
               const ResourceChanges &changes, Instant begun);
-  /// Whether this host aggregates for others.
+  /// Whether this host aggregates reports for its group of hosts.
   bool aggregates(Instant now) const {
     return State.Fleet.aggregates(self(), now);
   }
-  /// Whether this host asks the store for all others.
+  /// Whether this host watches the store for the whole fleet.
   bool leads(Instant now) const { return State.Fleet.leads(self(), now); }
   FleetMember self() const;
   std::string address() const { return Link->address(); }
@@ -72,10 +75,11 @@
   FleetReportMerger ReportMerger;
   std::uint64_t Sequence = 0;
   Instant PublishedAt{};
-  /// When a report last named all members, and who they were.
+  /// When a report last listed all members, and which ones it listed.
   Instant MembersSentAt{};
   std::map<ReportScope, std::vector<FleetMember>> Named;
-  /// What each peer's clock showed when it last spoke.
+  /// Each peer's boot clock in its last report, in microseconds. It is sent
+  /// back with relayed changes.
   std::map<HostId, std::int64_t> PeerClocks;
   int PeerLookups = 0;
   bool IsRegistered = false;
--- a/Services/sorrelbayd/GatewayHooks.h
+++ b/Services/sorrelbayd/GatewayHooks.h
@@ -13,8 +13,8 @@
 
 namespace sorrelbay {
 
-/// All that the daemon needs of a platform, in its own words. An adapter fills
-/// it in; it translates and decides nothing.
+/// The platform interface of the daemon, in the product's own types. An adapter
+/// implements it; the adapter only translates and makes no decisions.
 struct GatewayHooks {
   std::function<ServingCall(const HttpRequest &)> ReadCall;
   std::function<HttpCall(const HttpRequest &, const UpstreamAttempt &)>
@@ -23,16 +23,17 @@
   std::function<HttpHeaders(const HttpHeaders &)> ResponseHeaders;
   std::function<HttpHeaders(const ServingCall &, std::optional<Duration>)>
       LocalResponseHeaders;
-  /// Whether the request asks if the host is ready, or where to connect.
+  /// Whether the request is a readiness probe, and whether it is an address
+  /// lookup.
   std::function<bool(const HttpRequest &)> IsReadinessProbe;
   std::function<bool(const HttpRequest &)> IsAddressLookup;
   std::function<std::string(const std::vector<std::string> &, Duration)>
       AddressesBody;
-  /// All three throw an Error where the object can't be read.
+  /// These three throw an Error if the object is malformed.
   std::function<ServingPlan(const Resource &)> ReadPlan;
   std::function<ReplicaRecord(const Resource &)> ReadReplica;
   std::function<RolloutOrder(const Resource &)> ReadRollout;
-  /// The status that says so of an order.
+  /// The body of the order's status for that outcome.
   std::function<std::string(const RolloutOrder &, RolloutOutcome)>
       RolloutStatusBody;
   ResourceStore Store;
--- a/Services/sorrelbayd/GatewayRollouts.h
+++ b/Services/sorrelbayd/GatewayRollouts.h
@@ -10,32 +10,33 @@
 
 namespace sorrelbay {
 
-/// The moves that operators have ordered in the store: which version a call
-/// goes to, what was seen of both, and what the order's status says. Every
-/// host judges by the evidence of all and takes a version back by itself; the
-/// holder of the duties writes the status. Times are true time, because hosts
-/// tell them to each other. Belongs to the loop's thread.
+/// Performs the rollouts that operators order in the store: chooses the version
+/// for each call, collects evidence on the old and new version, and maintains
+/// each order's status. Every host judges the new version by the evidence of
+/// all hosts and rolls it back by its own decision; the holder of the duties
+/// writes the status. Times are fleet time (FleetClock), since hosts exchange
+/// them. Used only on the event loop's thread.
 class GatewayRollouts {
 public:
   GatewayRollouts(GatewayState &state, const DutyLease &duties);
 
-  /// An order is new or has changed.
+  /// Handles a new or changed order.
   void take(const Resource &object);
   void remove(const std::string &name);
-  /// To be called several times a second.
+  /// Performs the periodic work; call it several times a second.
   void tick(Instant now);
 
   VersionPreference versionFor(const ServiceId &service,
                                const std::string &callId, Instant now) const;
-  /// A send to an upstream of that version has ended.
+  /// Records the outcome of an attempt at an upstream of that version.
   void record(const ServiceId &service, const VersionId &version,
               const RouteId &route, UpstreamOutcome outcome);
   bool isRollingOut(const ServiceId &service) const;
 
-  /// What this host tells its peers for itself, or where it aggregates for
-  /// others; empty if there is no move.
+  /// Encoded rollout knowledge of the hosts that the scope covers; empty if no
+  /// rollout is under way.
   std::string news(ReportScope scope) const;
-  /// A peer has sent what it knows.
+  /// Merges a peer's encoded knowledge; logs and ignores it if malformed.
   void receive(const std::string &news, Instant now);
 
 private:
--- a/Services/sorrelbayd/GatewaySettings.h
+++ b/Services/sorrelbayd/GatewaySettings.h
@@ -9,84 +9,92 @@
 
 namespace sorrelbay {
 
-/// How late, how many and how much a deployment allows; from its settings.
+/// The deployment's bounds on delays, counts and shares; section [bounds] of
+/// the settings.
 struct GatewayBounds {
-  /// From an upstream's leaving until nothing new may reach it.
+  /// Longest time from an upstream announcing that it leaves until no new call
+  /// may reach it.
   Duration Drain{};
-  /// From the request to stop until the process is ended.
+  /// Longest time from the request to stop until the process is ended;
+  /// responses that are still open then are cut off.
   Duration Grace{};
-  /// From a plan's acceptance until it is in force everywhere.
+  /// Longest time from a plan's acceptance until all hosts serve by it.
   Duration PlanInForce{};
-  /// From the order to evacuate a zone until nothing new may reach its
-  /// upstreams; zero where zones are not evacuated.
+  /// Longest time from the order to evacuate a zone until no new call may reach
+  /// its upstreams; zero if the deployment does not evacuate zones.
   Duration Evacuation{};
-  /// From a key's removal until no call with it may run.
+  /// Longest time from an API key's removal until no call with it may run.
   Duration KeyRemoval{};
-  /// Calls with keys are refused when the plan may be older than that.
+  /// Whether calls with keys are refused when the plan was last confirmed
+  /// longer ago than KeyRemoval.
   bool KeysFailClosed = true;
-  /// Repeated sends allowed as a share of a service's calls, over a window,
-  /// and so many besides; over all hosts.
+  /// Retry budget of a service over all hosts together: in RetryWindow, at most
+  /// RetryShare times its calls plus RetrySlack retries. Calls beyond it are
+  /// not retried.
   double RetryShare = 0;
   Duration RetryWindow{};
   std::int64_t RetrySlack = 0;
-  /// Units that a team may use beyond its allotment over all hosts.
+  /// Units that a team may use beyond its allotment, over all hosts together.
   std::int64_t AllotmentSlack = 0;
-  /// An allotment holds in any span of that length; zero where it is not
-  /// known.
+  /// In any span of this length, a team may use its rate times the span, and
+  /// its burst; zero if the span is not known.
   Duration AllotmentWindow{};
-  /// Two holders of a duty must not act by turns within that time.
+  /// Two hosts must not exercise the duties alternately within this time. The
+  /// lease lasts longer than that.
   Duration Lease{};
-  /// Usage is reported by windows of this length.
+  /// Length of the windows by which usage is reported.
   Duration UsageWindow{};
-  /// After the window's end.
+  /// Longest time from a window's end until its usage is reported.
   Duration UsageDue{};
-  // FIXME: A hard limit on a trial by these; the judge's steps keep to it
-  // today.
-  /// The part of a service's calls that a version may get that is being tried,
-  /// and so many calls besides.
+  // FIXME: Enforce the two trial bounds as hard limits; only the canary judge's
+  // steps keep to them now.
+  /// Bounds on a version under trial: it may get at most TrialShare of its
+  /// service's calls plus TrialSlack calls.
   double TrialShare = 0;
   std::int64_t TrialSlack = 0;
-  /// From a version's fault showing until it gets nothing more.
+  /// Longest time from a version showing a fault until it gets no more calls.
   Duration TrialEnd{};
-  /// The longest time that callers keep an address.
+  /// Longest time that callers keep an address from a lookup.
   Duration AddressTimeToLive{};
 };
 
-/// All that a daemon knows when it starts on a platform whose store holds the
-/// operators' plan; sorrelbayd(5) describes each key.
+/// Settings of a daemon on a platform whose store holds the operators' plan;
+/// sorrelbayd(5) describes each key.
 struct GatewaySettings {
   HostId Host;
   ZoneId Zone;
   std::string Region;
-  /// The regions of the availability zones that are known.
+  /// The region of each known availability zone.
   std::map<ZoneId, std::string> RegionOf;
-  /// Cores, or the part of one, that the daemon may use; the larger hosts
-  /// aggregate for the others.
+  /// CPU cores, or the fraction of one, that the daemon may use. The hosts with
+  /// the most cores aggregate for the others.
   double Cores = 1;
-  /// Where callers connect, "ip:port".
+  /// Listening address for callers, "ip:port" like the other addresses.
   std::string CallerListen;
-  /// Where the platform asks whether the host is ready.
+  /// Listening address for the platform's readiness probes.
   std::string ReadinessListen;
-  /// Where callers ask for addresses.
+  /// Listening address for callers' address lookups.
   std::string AddressListen;
-  /// Where other daemons connect.
+  /// Listening address for other daemons.
   std::string PeerListen;
-  /// Where metrics are read; empty for nowhere.
+  /// Listening address for metrics; empty to serve none.
   std::string MetricsListen;
   std::string StoreAddress;
   std::string CloudAddress;
-  /// Calls a second of the cloud's duties, from all hosts.
+  /// Calls a second that the cloud accepts for the duties from all hosts
+  /// together; it refuses calls beyond that.
   double DutyCallsPerSecond = 1;
-  /// How often upstreams renew their entries.
+  /// Interval at which upstreams renew their entries in the store.
   Duration Heartbeat{};
   GatewayBounds Bounds;
 };
 
-/// Whether the text says that the plan comes from the platform's store; such
-/// settings are read by parseGatewaySettings.
+/// Whether the settings name the platform's store as the source of the plan.
+/// Such settings are parsed by parseGatewaySettings.
 bool usesStoreAsBundleSource(const std::string &text);
 
-/// Reads the settings file's text. Throws TomlError with every fault.
+/// Parses the text of the settings file. Throws TomlRefused, which lists every
+/// fault.
 GatewaySettings parseGatewaySettings(const std::string &text,
                                      const std::string &file);
 
--- a/Services/sorrelbayd/GatewayState.h
+++ b/Services/sorrelbayd/GatewayState.h
@@ -26,32 +26,33 @@
 
 namespace sorrelbay {
 
-/// What all parts of a serving daemon share. All of it belongs to the event
-/// loop's thread, so it has no locks.
+/// State that all parts of a Gateway share. It is used only on the event loop's
+/// thread and therefore has no locks.
 struct GatewayState {
   GatewayState(boost::asio::io_context &loop, GatewaySettings settings,
                GatewayHooks hooks);
 
   boost::asio::io_context &Loop;
   const GatewaySettings Settings;
-  /// The platform; each call to its store is counted.
+  /// The platform interface; each call to its store is counted.
   const GatewayHooks Hooks;
   const IncarnationId Incarnation;
   AsyncHttpClient Client;
 
   StoreReachability Reach;
-  /// Nothing until the store has shown one.
+  /// Null until the first plan has been read from the store.
   std::shared_ptr<const PlanIndex> Plan;
-  /// When the call began that last confirmed the plan.
+  /// Start of the store call that last confirmed the plan.
   Instant PlanConfirmedAt{};
-  /// A plan that was confirmed longer ago says nothing about routes and keys
-  /// that are not in it: a watch should have brought news, and did not return.
+  /// If the plan was confirmed longer ago than this, routes and keys that are
+  /// not in it may still exist: a watch should have returned changes by then
+  /// and did not.
   Duration LongestPlanAge = seconds(2);
   Instant ReplicasConfirmedAt{};
   Instant EvacuationsConfirmedAt{};
   ReplicaTable Replicas;
   EngineDemand Demand;
-  /// Of the plan in force.
+  /// Limits of the plan in force.
   QueueWaitLimits FirstTokens;
   std::map<TeamId, TeamRateLimiter> RateLimiters;
   UsageCounts Usage;
@@ -59,17 +60,19 @@
   FleetView Fleet;
   FleetClock Time;
   std::mt19937_64 Random;
-  /// Failures go before successes where lines must be left out.
+  /// Log lines a second for calls. Successes and failures have separate limits,
+  /// so that successes cannot displace failures.
   LogRateLimiter SuccessLogBudget{20};
   LogRateLimiter FailureLogBudget{200};
-  /// When the stop was asked for; nothing while the host serves.
+  /// When the stop was requested; empty while the host serves.
   std::optional<Instant> StoppingSince;
   Metrics Counts;
-  /// Calls to the store since the last line about them, and when that was.
+  /// Calls to the store since they were last logged, and when that was.
   std::map<std::string, std::int64_t> StoreCalls;
   Instant StoreCallsLoggedAt{};
   bool isStopping() const { return StoppingSince.has_value(); }
-  /// Which version a call goes to and how it did; set where moves are kept.
+  /// Chooses a call's version and records its outcome; set by the Gateway,
+  /// which connects them to its rollouts.
   std::function<VersionPreference(const ServiceId &, const std::string &callId)>
       VersionFor = [](const ServiceId &, const std::string &) {
         return VersionPreference{};
@@ -78,27 +81,28 @@
                      UpstreamOutcome)>
       RecordOutcome;
   std::function<bool(const ServiceId &)> IsRollingOut;
-  /// This host as its peers know it.
+  /// This host's entry as published to peers.
   std::function<FleetMember()> Self;
-  /// Tells the peers at once what is open here.
+  /// Publishes this host's open work to peers without waiting for the next
+  /// regular report.
   std::function<void()> NotifyPeers = [] {};
 
-  /// Whether it is known where calls may go: which upstreams there are, and
-  /// which zones are evacuated.
+  /// Whether the upstreams and, in deployments that evacuate zones, the
+  /// evacuated zones have been read from the store.
   bool knowsUpstreams() const;
-  /// How old the plan may be at most, by what is known.
+  /// Upper bound on the age of the plan.
   Duration planAge(Instant now) const { return now - PlanConfirmedAt; }
   void noteStoreCall(const char *call, ResourceKind kind,
                      std::optional<StoreFailure> failure);
-  /// Writes a line with the calls to the store of the last while, by call and
-  /// kind, once in ten seconds.
+  /// Logs the number of calls to the store by call and kind, at most once every
+  /// ten seconds.
   void logStoreCalls(Instant now);
-  /// When the loop last came to its regular work. Long ago means that the
-  /// process was stopped for a while, and that what was measured over that time
-  /// says nothing.
+  /// When the event loop last performed its periodic work. A long gap means
+  /// that the process was suspended and that durations measured across the gap
+  /// are invalid.
   Instant TickedAt{};
   bool wasStalled(Instant now) const;
-  /// A fraction in [0, 1).
+  /// A random number in [0, 1), uniformly distributed.
   double draw();
 };
 
--- a/Services/sorrelbayd/ReplicaOrders.h
+++ b/Services/sorrelbayd/ReplicaOrders.h
@@ -9,14 +9,14 @@
 
 namespace sorrelbay {
 
-/// Orders replicas by the plan of each service that may be scaled, while this
-/// host holds the duties; one order at a time, and no faster than the cloud
-/// takes them. Belongs to the loop's thread.
+/// Orders replicas from the cloud, as the autoscaler of each scalable service
+/// decides, while this host holds the duties: one order at a time, within the
+/// cloud's rate limit. Used only on the event loop's thread.
 class ReplicaOrders {
 public:
   ReplicaOrders(GatewayState &state, const DutyLease &duties);
 
-  /// To be called several times a second.
+  /// Performs the periodic work; call it several times a second.
   void tick(Instant now);
 
 private:
@@ -28,7 +28,7 @@
   GatewayState &State;
   const DutyLease &Duties;
   std::map<ServiceId, ReplicaAutoscaler> Plans;
-  /// The term of the lease that the plans were made in.
+  /// The lease term in which the autoscalers were created.
   std::uint64_t PlansTerm = 0;
   std::deque<ReplicaOrder> Waiting;
   boost::asio::steady_timer SendTimer;
--- a/Services/sorrelbayd/UsageRecord.h
+++ b/Services/sorrelbayd/UsageRecord.h
@@ -7,24 +7,24 @@
 
 namespace sorrelbay {
 
-/// The record's text is not one that a holder wrote.
+/// The text is not a usage record.
 class UsageRecordMalformed : public Error {
 public:
   using Error::Error;
 };
 
-/// A window whose counts are settled: they are what is reported, by whoever
-/// reports it.
+/// A window whose counts are final: whichever host reports the window reports
+/// these.
 struct SettledWindow {
   TeamCounts Counts;
   bool IsAccepted = false;
 };
 
-/// What the holder of the duties keeps in the store for its successors.
+/// The usage state that the holder of the duties stores for its successors.
 struct UsageRecord {
   std::map<WindowNumber, SettledWindow> Settled;
-  /// What was known of the windows after those. All hosts may be killed at the
-  /// same time, and what they had counted would be gone with them.
+  /// Counts known so far of the windows after the settled ones. Without them, a
+  /// kill of all hosts at the same time would lose what they had counted.
   std::map<WindowNumber, UsageCounts::Counted> Known;
 };
 
--- a/Services/sorrelbayd/UsageReporter.h
+++ b/Services/sorrelbayd/UsageReporter.h
@@ -8,16 +8,17 @@
 
 namespace sorrelbay {
 
-/// Reports each window's usage once, while this host holds the duties. What is
-/// about to be reported is written to the store first: a successor that finds
-/// it there repeats it to the letter, because two reports of one window that
-/// differ would bill a team twice. Once a second it also keeps there what is
-/// known of the windows that go on. Belongs to the loop's thread.
+/// Reports the usage of each window once while this host holds the duties.
+/// Final counts are written to the store before they are reported, and a
+/// successor that finds them there reports the same ones: two reports of one
+/// window that differ would bill a team twice. Once a second, the counts known
+/// so far of later windows are stored as well. Used only on the event loop's
+/// thread.
 class UsageReporter {
 public:
   UsageReporter(GatewayState &state, const DutyLease &duties);
 
-  /// To be called several times a second.
+  /// Performs the periodic work; call it several times a second.
   void tick(Instant now);
 
 private:
@@ -30,10 +31,11 @@
 
   GatewayState &State;
   const DutyLease &Duties;
-  /// As the store has them, the last few.
+  /// The last few settled windows, as stored.
   std::map<WindowNumber, SettledWindow> Settled;
   std::uint64_t Revision = 0;
-  /// The term of the lease in which the store's record was read.
+  /// The lease term in which the stored record was read; empty if it has to be
+  /// read again.
   std::optional<std::uint64_t> RecordTerm;
   WindowNumber First;
   Instant SavedAt{};
