--- a/Services/sorrelbayd/DutyLease.cpp
+++ b/Services/sorrelbayd/DutyLease.cpp
@@ -7,10 +7,11 @@
 namespace sorrelbay {
 
 static constexpr const char *LeaseName = "duties";
-/// Beyond the bound, so that two holders never act by turns within it.
+/// Added to the bound on the lease, so that two hosts never exercise the duties
+/// alternately within it.
 static constexpr Duration TermMargin = seconds(1);
-/// Hosts of a group that stand by to take the duties; were it all, a large
-/// fleet would ask the store for the lease hundreds of times a second.
+/// Number of hosts of a group that stand by to take the lease. If all did, a
+/// large fleet would query the store for it hundreds of times a second.
 static constexpr std::size_t Standbys = 3;
 
 static LeaderLeaseSettings leaseSettings(const GatewayBounds &bounds) {
@@ -51,8 +52,8 @@
   case LeaseStep::Read:
     return read(now);
   case LeaseStep::Write:
-    // A host that stops lets the lease run out instead of handing it over:
-    // the next holder then never acts within the old one's lease.
+    // A stopping host lets the lease expire instead of releasing it, so that
+    // the next holder never acts within the old holder's term.
     if (!State.isStopping())
       write(now);
     return;
@@ -105,8 +106,8 @@
         Lease.noteRead(seen, now);
         if (isOwnEarlier)
           Lease.noteReleased();
-        // Its own write, whose answer was lost: the number
-        // went with it.
+        // This host's own write, whose response was lost along with the fencing
+        // token.
         if (Lease.isHeld(now))
           FencingToken = fencing;
       });
@@ -121,8 +122,8 @@
   object.Body = nlohmann::json{
       {"holder", State.Incarnation.text()},
       {"host", State.Settings.Host.text()},
-      // A write that changes nothing leaves the revision as it is: the others
-      // would see a lease that nobody renews.
+      // A write that changes nothing gets no new revision from the store, and
+      // other hosts would see a lease that is not renewed.
       {"renewals", ++Renewals},
       {"fencing",
        fencing}}.dump();
--- a/Services/sorrelbayd/Gateway.cpp
+++ b/Services/sorrelbayd/Gateway.cpp
@@ -12,29 +12,32 @@
 
 namespace {
 
-/// Between two reports to peers.
+/// Interval of the periodic work, which sends a report to peers.
 constexpr Duration TickInterval = milliseconds(250);
-/// Callers are told so many hosts at most.
+/// Most addresses in the response to an address lookup.
 constexpr std::size_t MostAddresses = 64;
-/// Callers ask again for addresses so often.
+/// How long callers keep an address from a lookup, unless AddressTimeToLive is
+/// shorter.
 constexpr Duration UsualAddressLife = seconds(2);
-/// Connections without a request are closed after that while the host stops;
-/// callers need the time to hear of the stop by their lookups.
+/// While the host stops, connections are closed after this time without a
+/// request. Callers need the time to learn of the stop from their address
+/// lookups.
 constexpr Duration QuietWhileStopping = milliseconds(1200);
-/// A view of the store is confirmed at least so often, as a share of the
-/// tightest bound on its age.
+/// Number of times that a view of the store is confirmed within the tightest
+/// bound on its age.
 constexpr int ConfirmsPerBound = 4;
-/// A host that is told of changes asks by itself after silence of this part of
-/// the tightest bound, or by news that are so many patiences older.
+/// A host that receives relayed changes queries the store itself after
+/// receiving none for 1/SilencesPerBound of the tightest bound, or if the last
+/// ones may be older than that by more than OldBySilent wait limits.
 constexpr int SilencesPerBound = 2;
 constexpr int OldBySilent = 2;
 constexpr Duration LongestWatch = milliseconds(500);
-/// What changes within this share of the tightest bound is asked for together.
+/// Changes within 1/BatchesPerBound of the tightest bound are fetched together.
 constexpr int GathersPerBound = 20;
-/// By which a watch may return late.
+/// Time by which a watch may return late.
 constexpr Duration WatchDelay = milliseconds(400);
-/// How long a watch for moves waits; orders are rare and no view's age hangs on
-/// it.
+/// How long a watch for rollout orders waits. They are rare, and no bound
+/// depends on the age of that view.
 constexpr Duration MoveWatch = seconds(5);
 constexpr int Ok = 200;
 constexpr int NotFound = 404;
@@ -139,14 +142,16 @@
   settings.WaitLimit =
       std::min<Duration>(LongestWatch, bound / ConfirmsPerBound);
   settings.BatchDelay = bound / GathersPerBound;
-  // One host asks for all. Another takes its place within a second or so, and
-  // the others should ask by themselves only if it doesn't.
+  // One host watches the store for the fleet. Another replaces it within about
+  // a second; only if none does should the other hosts query the store
+  // themselves.
   settings.SilentWaitLimits =
       std::max(settings.SilentWaitLimits,
                static_cast<int>(bound / SilencesPerBound / settings.WaitLimit));
   settings.StaleWaitLimits = std::max(settings.StaleWaitLimits,
                                       settings.SilentWaitLimits + OldBySilent);
-  // News may come from another host, and be as old as that allows.
+  // Changes may be relayed by another host and be as old as StaleWaitLimits
+  // allows.
   State.LongestPlanAge =
       settings.WaitLimit * settings.StaleWaitLimits + WatchDelay;
   ResourceWatcherHooks plans;
@@ -247,7 +252,7 @@
     ServingPlan plan = State.Hooks.ReadPlan(object);
     const std::uint64_t version = plan.Version;
     if (State.Plan && version < State.Plan->plan().Version) {
-      LogLine(Severity::Warning, "plan older than the one in force")
+      LogLine(Severity::Warning, "ignoring a plan older than the one in force")
           .field("version", static_cast<std::int64_t>(version));
       return;
     }
@@ -366,7 +371,7 @@
     const bool isGood = it.Member.IsReady && State.Fleet.isAnswering(it, now);
     (isGood ? addresses : silent).push_back(it.Member.CallerAddress);
   }
-  // A caller with a doubtful address is better off than one with none.
+  // A caller is better off with the address of a silent host than with none.
   if (addresses.empty())
     addresses = silent;
   if (addresses.empty() && !State.isStopping())
@@ -393,7 +398,8 @@
       try {
         Loop.run();
       } catch (const std::exception &error) {
-        // One call's fault must not end the service of all.
+        // An exception in the handling of one call must not stop the event
+        // loop.
         LogLine(Severity::Error, "event loop fault").field("why", error.what());
       }
     }
--- a/Services/sorrelbayd/GatewayCall.cpp
+++ b/Services/sorrelbayd/GatewayCall.cpp
@@ -17,27 +17,31 @@
 constexpr int Unavailable = 503;
 constexpr int GatewayTimeout = 504;
 
-/// A caller that states no patience and whose route has no timeout.
+/// Default wait limit of callers that state none, and of routes without a
+/// timeout.
 constexpr Duration UsualPatience = seconds(30);
-/// Sends that didn't come about are tried elsewhere so often.
+/// Most failed connection attempts, with nothing sent, that are followed by an
+/// attempt at another upstream.
 constexpr int MostNotSent = 3;
-/// A once-only call takes a kept connection only if it was in use this lately:
-/// one that the other side has just dropped loses the call.
+/// A call that may run only once uses a pooled connection only if it was in use
+/// this recently: a connection that the upstream has just closed would lose the
+/// call.
 constexpr Duration OnceOnlyFreshness = seconds(1);
 constexpr Duration UsualFreshness = seconds(3);
-/// Answers up to this size are passed on when they are whole.
+/// Responses up to this size are relayed once they are complete.
 constexpr std::size_t WholeAnswerBytes = 256UL * 1024;
-/// A caller that takes its stream more slowly holds up its upstream.
+/// Reading from the upstream pauses while more than this many bytes wait for a
+/// slow caller.
 constexpr std::size_t MostWaitingBytes = 256UL * 1024;
-/// The part of the caller's remaining time within which it may come back.
+/// Share of the caller's remaining time that Retry-After may take.
 constexpr double RetryPart = 0.3;
-/// A call that may be repeated is taken away from a silent upstream after so
-/// many times its latency target.
+/// An idempotent call is taken away from an upstream that has not responded
+/// within its latency target times this factor.
 constexpr int SilenceTargets = 3;
-/// A prompt that takes an engine so long to read is told to peers at once, so
-/// that they don't send others behind it.
+/// Prompts whose prefill takes at least this long are reported to peers at
+/// once, so that they do not send other calls to the same engine.
 constexpr Duration LargePrompt = milliseconds(100);
-/// Before the last moment at which a key may still count.
+/// Margin before the end of the key removal bound.
 constexpr Duration KeyMargin = milliseconds(100);
 
 } // namespace
@@ -100,8 +104,8 @@
     return true;
   const Duration age = State.planAge(ReceivedAt);
   const GatewayBounds &bounds = State.Settings.Bounds;
-  // A key may have been taken away since the plan was confirmed; a host that is
-  // cut off would go on serving it for ever.
+  // The key may have been removed since the plan was confirmed; a host that is
+  // cut off from the store would go on accepting it indefinitely.
   if (bounds.KeysFailClosed && age > bounds.KeyRemoval - KeyMargin) {
     refuse(Unavailable, "keys_stale", jitteredRetryAfter(milliseconds(300)));
     return false;
@@ -145,7 +149,8 @@
   if (acceptsCallWhileStopping(ReceivedAt - *State.StoppingSince,
                                State.Settings.Bounds.Grace, waitLimit))
     return true;
-  // Another host takes it at once; this one's address is gone from the lookups.
+  // Another host accepts the call at once; address lookups no longer return
+  // this host.
   refuse(Unavailable, "stopping", milliseconds(1));
   return false;
 }
@@ -168,7 +173,7 @@
 void GatewayCall::onTimer() {
   const Instant now = bootNow();
   if (now < Life->deadline()) {
-    // The upstream is silent; another one may still answer in time.
+    // The upstream has not responded; another one may still respond in time.
     if (IsOpen && !Now.HasFirstByte && mayRepeat()) {
       Handle->cancel();
       Life->recordFailure();
@@ -193,7 +198,8 @@
   cut("deadline");
 }
 
-/// Whether the budget allows another send of this call; takes it out.
+/// Takes one retry of this call out of the retry budget; false if none is left
+/// or the route's attempts are used up.
 bool GatewayCall::mayRepeat() {
   if (Life->sends() >= Route->MaxAttempts)
     return false;
@@ -202,8 +208,10 @@
          it->second.takeRetry(RetryLayer::EntryHost);
 }
 
-/// An upstream takes so many connections from all hosts together and resets
-/// those beyond, with the calls on them; each host keeps to its part.
+/// Whether the upstream may get this call by a new or pooled connection. An
+/// upstream accepts a limited number of connections from all hosts together and
+/// resets those beyond it along with their calls, so each host uses at most its
+/// share.
 bool GatewayCall::hasConnectionCapacity(const std::string &address) const {
   const ServingService *service = Plan->service(Service);
   if (!service || service->MaxConnections <= 0 || State.Client.hasIdle(address))
@@ -213,7 +221,8 @@
   return State.Client.connections(address) < static_cast<std::size_t>(most);
 }
 
-/// The upstream for the next send. Those that were passed over count as tried.
+/// Chooses the upstream for the next attempt. Upstreams without a connection to
+/// spare count as tried.
 std::optional<ReplicaChoice> GatewayCall::chooseUpstream(Instant now) {
   const ServingService *service = Plan->service(Service);
   ReplicaRequest request;
@@ -243,8 +252,8 @@
   return Team && Team->Priority ? *Team->Priority : Route->Priority;
 }
 
-/// Whether the prompts ahead of the call make it so late that its caller is
-/// better told at once.
+/// Whether the prompts queued ahead delay the call so much that rejecting it at
+/// once is better for its caller.
 bool GatewayCall::exceedsFirstTokenLimit(const ReplicaChoice &choice) const {
   if (!Route->IsStream || !State.Replicas.modelOf(Service).hasEnoughSamples())
     return false;
@@ -321,12 +330,13 @@
   const UpstreamReplyInfo verdict = State.Hooks.ReadReplyInfo(head);
   Now.IsNotRun = verdict.IsNotRun;
   const bool isNamed = !verdict.Id.empty() || Call.Id.empty();
-  // A success that doesn't say whose it is may be anybody's.
+  // A successful response without an id may belong to any call.
   if (isSuccess() && !isNamed) {
     Handle->cancel();
     return onFailure(HttpFailure::Broken);
   }
-  // An answer that goes on after bytes of another run must not be a failure.
+  // An error response must not continue a response of which another attempt has
+  // sent a part.
   Now.IsDiscarded = Now.IsNotRun || (HasBegun && !isSuccess());
 }
 
@@ -406,7 +416,8 @@
                            bootNow());
 }
 
-/// What the send says of its version, while its service moves to another.
+/// Records the attempt's outcome for its version while the service is being
+/// rolled out.
 void GatewayCall::recordOutcome(SendResult result) {
   if (result == SendResult::TurnedAway || result == SendResult::Inconclusive ||
       !Now.WasSending)
@@ -491,8 +502,9 @@
                                               : "upstream_broke_off");
 }
 
-/// A stream whose upstream broke off may go on at another one behind the last
-/// whole event, inside the same answer; its caller sees a pause and no cut.
+/// Whether a stream whose upstream broke off may continue at another one, after
+/// the last complete event and within the same response, so that its caller
+/// sees a pause instead of a cut.
 bool GatewayCall::resume() {
   if (!Route->IsResumable || !Life->canResume(bootNow()) || !mayRepeat())
     return false;
@@ -504,7 +516,7 @@
   return true;
 }
 
-/// Ends an answer that was begun and can't be made whole, so that its caller
+/// Aborts a response that has begun and cannot be completed, so that its caller
 /// can tell.
 void GatewayCall::cut(const char *cause) {
   log("cut", Now.Head.Status, cause);
@@ -546,8 +558,8 @@
   }
 }
 
-/// When a caller may come back: not all at the same time, and while it has time
-/// left for the call itself.
+/// A random time after which the caller may retry: callers must not all return
+/// at the same time, and must have time left for the call itself.
 Duration GatewayCall::jitteredRetryAfter(Duration least) {
   const Duration waitLimit = Call.WaitLimit.value_or(UsualPatience);
   const Duration left = ReceivedAt + waitLimit - bootNow();
--- a/Services/sorrelbayd/GatewayFleet.cpp
+++ b/Services/sorrelbayd/GatewayFleet.cpp
@@ -10,22 +10,23 @@
 
 namespace {
 
-/// At the least between two reports, whatever happens.
+/// Shortest time between two reports, whatever triggers them.
 constexpr Duration ShortestPublishGap = milliseconds(20);
-/// How often the store is asked who the peers are: soon after the start, when
-/// all hosts have come at once, with longer and longer pauses, then rarely.
+/// Intervals at which the store is queried for peers: short and increasing
+/// after the start, when all hosts may have started together, then long.
 constexpr Duration FirstSearches = milliseconds(500);
 constexpr Duration LaterSearches = seconds(10);
-/// In a large fleet a host that doesn't aggregate hears of others from the
-/// peers of its group and from its aggregator; a new host makes itself known to
+/// In a large fleet, a host that does not aggregate learns of others from the
+/// peers of its group and from its aggregator; a new host announces itself to
 /// the peers of its group.
 constexpr Duration RareSearches = seconds(60);
 constexpr int FirstSearchCount = 3;
-/// Between two reports that name all members and carry what changes slowly.
+/// Interval of the reports that list all members and carry slowly changing
+/// data.
 constexpr Duration WholeInterval = seconds(1);
-/// Larger changes are passed on in parts: as one message they would hold up the
-/// reports behind them. A single object that is larger is asked for by each
-/// host.
+/// Most bytes of relayed changes in one message. Larger sets are split, since
+/// one message would delay the reports behind it; a single object that is
+/// larger is fetched by each host.
 constexpr std::size_t MostPassedOn = 48UL * 1024;
 
 void logSource(const FleetReport &report, bool counts) {
@@ -129,8 +130,9 @@
     publishAggregates(own, now);
 }
 
-/// A collector's work is needed by the other collectors only; the rest get it
-/// within the zone's sum, and a heartbeat besides.
+/// Sends this host's report. Only the other collectors need a collector's work
+/// in detail; the other hosts get it within the zone's sum, and get a heartbeat
+/// from the collector.
 void GatewayFleet::sendOwnReport(const FleetReport &own, Instant now) {
   const std::vector<HostId> peers =
       State.Fleet.reportPeers(own.Members.front(), now);
@@ -151,9 +153,10 @@
   Link->send(without(peers, collectors), encodeFleetMessage(heartbeat));
 }
 
-/// Tells other zones' aggregators the sum of this zone, and this zone the sum
-/// of itself and of the others. Members, usage and moves change slowly and are
-/// many; they go along once a second, or when a member has changed.
+/// Sends this zone's sum to other zones' aggregators, and that sum and the sum
+/// of the other zones to this zone. Members, usage and rollout knowledge are
+/// large and change slowly; they are included once a second, or when a member
+/// has changed.
 void GatewayFleet::publishAggregates(const FleetReport &own, Instant now) {
   FleetReport zone = State.Fleet.zoneReport(own, now);
   FleetReport others = State.Fleet.othersReport(own, now);
@@ -166,7 +169,8 @@
     Named[others.Scope] = others.Members;
   }
   for (FleetReport *it : {&zone, &others}) {
-    // A host that hears sums only would otherwise go by one clock.
+    // A host that receives only sums would otherwise follow a single host's
+    // clock.
     it->FleetTimeMs = toEpochMilliseconds(State.Time.at(now));
     it->Usage.clear();
     it->Moves.clear();
@@ -184,8 +188,8 @@
   Link->send(without(State.Fleet.groupPeers(), collectors),
              encodeFleetMessage(others));
   FleetReport ownZone = State.Fleet.ownZoneReport(zone);
-  // Steps and vetoes must come to all hosts at once; evidence only to those
-  // that decide by it.
+  // All hosts need rollout steps and vetoes at once; only hosts that decide
+  // need the evidence.
   ownZone.Moves = Hooks.Moves(ownZone.Scope);
   Link->send(State.Fleet.groupPeers(), encodeFleetMessage(ownZone));
 }
@@ -229,15 +233,16 @@
   for (const RelayedChanges &it : parts)
     Link->send(peers, encodeFleetMessage(it));
   for (const HostId &it : peers) {
-    // To a host that has not spoken yet the news says what changed, but not how
-    // old that is.
+    // A host that has not sent a report yet learns what changed, but not how
+    // old the changes are.
     const auto echo = PeerClocks.find(it);
     last.Echo = echo == PeerClocks.end() ? 0 : echo->second;
     Link->send({it}, encodeFleetMessage(last));
   }
 }
 
-/// An earlier life's entry says the same where the host has its old address.
+/// Registers this host unless the store holds the same entry already, possibly
+/// from an earlier process at the same address.
 void GatewayFleet::registerIfMissing(const std::vector<FleetMember> &members) {
   if (IsRegistered || State.isStopping())
     return;
@@ -266,8 +271,8 @@
                              if (IsRegistered ||
                                  result.Failure != StoreFailure::Conflict)
                                return;
-                             // An earlier life's entry, which may name another
-                             // address.
+                             // The entry of an earlier process, which may have
+                             // another address.
                              State.Hooks.Store.Replace(
                                  ResourceKind::Hosts, own,
                                  [this](const StoreResult<Resource> &replaced) {
@@ -281,7 +286,8 @@
                            [](const StoreResult<Resource> &) {});
 }
 
-/// A host's entry; one without an address names nobody.
+/// Parses a host's entry. PeerAddress is empty if the entry has none or is
+/// malformed.
 static FleetMember registeredMember(const Resource &object) {
   FleetMember out;
   const auto body = nlohmann::json::parse(object.Body, nullptr, false);
--- a/Services/sorrelbayd/GatewayRollouts.cpp
+++ b/Services/sorrelbayd/GatewayRollouts.cpp
@@ -6,15 +6,17 @@
 
 namespace sorrelbay {
 
-/// A completed move's old replicas stop at once. So the status is written when
-/// nothing is open at them any more, or this long before the deadline.
+/// The old replicas stop at once when a rollout is completed. The status is
+/// therefore written when they have no open calls, or this long before the
+/// deadline.
 static constexpr Duration CompletionMargin = milliseconds(1200);
-/// Between two tries to write a status.
+/// Shortest time between two attempts to write a status.
 static constexpr Duration WritePause = milliseconds(500);
-/// What peers told is taken as all that they know if it came this lately.
+/// Peers' knowledge counts as up to date if a report arrived this recently.
 static constexpr Duration HeardLately = milliseconds(800);
 
-/// A version's name among all services; two services may call theirs alike.
+/// The name of a version among all services, since two services may use the
+/// same version name.
 static VersionId fullName(const ServiceId &service, const VersionId &version) {
   return VersionId(service.text() + "/" + version.text());
 }
@@ -45,7 +47,7 @@
     if (isNew)
       findOldVersion(move);
   } catch (const Error &error) {
-    LogLine(Severity::Warning, "move refused")
+    LogLine(Severity::Warning, "rollout order refused")
         .field("object", object.Name)
         .field("revision", static_cast<std::int64_t>(object.Revision))
         .field("why", error.what());
@@ -54,7 +56,8 @@
 
 void GatewayRollouts::remove(const std::string &name) { Moves.erase(name); }
 
-/// The version that most of the service's other replicas have.
+/// Sets the old version to the one that most of the service's other replicas
+/// have.
 void GatewayRollouts::findOldVersion(Move &move) const {
   std::map<VersionId, int> counts;
   for (const ReplicaRecord &it : State.Replicas.records())
@@ -79,7 +82,7 @@
     if (it.OfService == move.Order.Service && !it.IsLeaving &&
         it.OfVersion == move.Order.Target)
       ++replicas;
-  // Until the new version has replicas there is nothing to try.
+  // The rollout begins once the new version has replicas.
   if (replicas == 0)
     return;
   RolloutPlan plan;
@@ -98,8 +101,9 @@
     Route route;
     route.Id = it.Name;
     route.Service = move.Order.Service;
-    // All routes move together: an order gives seconds, and those that may not
-    // be repeated would wait for calls of the others that may never come.
+    // All routes are rolled out together: an order allows only seconds, and
+    // routes that must not be retried would wait for evidence from the calls of
+    // other routes, which may never come.
     route.Repeatable = true;
     route.LatencyTarget = it.LatencyTarget;
     plan.Routes.push_back(route);
@@ -248,7 +252,7 @@
   case ReportScope::OwnZone:
     break;
   }
-  // Hosts that don't decide need no evidence.
+  // Hosts that do not decide need no evidence.
   return encodeRolloutKnowledge(
       partOf(Known, [](const EvidenceSource &) { return false; }));
 }
@@ -259,7 +263,7 @@
   try {
     merge(Known, decodeRolloutKnowledge(news));
   } catch (const RolloutKnowledgeMalformed &error) {
-    LogLine(Severity::Warning, "peer's word on moves refused")
+    LogLine(Severity::Warning, "malformed rollout knowledge of a peer ignored")
         .field("why", error.what());
   }
 }
--- a/Services/sorrelbayd/GatewaySettings.cpp
+++ b/Services/sorrelbayd/GatewaySettings.cpp
@@ -9,16 +9,17 @@
 static constexpr double LeastSeconds = 0.1;
 static constexpr double MostCount = std::numeric_limits<int>::max();
 
-/// "ip:port", both present.
+/// A required "ip:port"; a fault is added if a part is missing.
 static std::string addressAt(TomlReader &from, const char *key) {
   std::string text = from.requiredText(key);
   const std::size_t colon = text.rfind(':');
   if (colon == std::string::npos || colon == 0 || colon + 1 == text.size())
-    from.addFault(key, "must be ip:port");
+    from.addFault(key, "must have the form ip:port");
   return text;
 }
 
-/// A required number; platforms give fractions as well as whole ones.
+/// A required number. Fractions and integers are accepted, since platforms
+/// write both.
 static double numberAt(TomlReader &from, const char *key, double least,
                        double most) {
   if (!from.has(key))
@@ -77,7 +78,7 @@
   TomlReader all = TomlReader::parse(text, file);
   GatewaySettings settings;
   if (all.requiredText("bundle_source") != "store")
-    all.addFault("bundle_source", "must be store");
+    all.addFault("bundle_source", "must be \"store\"");
   TomlReader host = all.table("host");
   settings.Host = HostId(host.requiredText("name"));
   settings.Zone = ZoneId(host.requiredText("zone"));
--- a/Services/sorrelbayd/GatewayState.cpp
+++ b/Services/sorrelbayd/GatewayState.cpp
@@ -5,20 +5,21 @@
 
 namespace sorrelbay {
 
-/// Between two lines about calls to the store.
+/// Interval of the log lines about calls to the store.
 static constexpr Duration StoreCallsInterval = seconds(10);
 
-/// The loop's regular work comes several times a second.
+/// The periodic work runs several times a second; a longer gap means that the
+/// process was suspended.
 static constexpr Duration LongestTickGap = seconds(1);
 
-/// A name that no other life of any daemon has.
+/// An id that no other process of any daemon has.
 static IncarnationId newIncarnation(const HostId &host) {
   std::random_device source;
   return IncarnationId(host.text() + "/" + std::to_string(source()) + "-" +
                        std::to_string(source()));
 }
 
-/// The hooks with each call to the store told to the state.
+/// Wraps the hooks so that the state counts each call to the store.
 static GatewayHooks counted(GatewayHooks hooks, GatewayState &state) {
   hooks.Store = instrumentedStore(
       hooks.Store, [&state](const char *call, ResourceKind kind,
--- a/Services/sorrelbayd/ReplicaOrders.cpp
+++ b/Services/sorrelbayd/ReplicaOrders.cpp
@@ -4,9 +4,10 @@
 
 namespace sorrelbay {
 
-/// Between two lines about a service's load.
+/// Interval of the log lines about a service's load.
 static constexpr Duration LogInterval = seconds(2);
-/// How many times the cloud's shortest gap lies between two orders.
+/// The interval between two orders, as a multiple of the cloud's shortest
+/// interval between calls.
 static constexpr double PacePart = 2;
 
 ReplicaOrders::ReplicaOrders(GatewayState &state, const DutyLease &duties)
@@ -18,7 +19,7 @@
     return;
   }
   if (PlansTerm != Duties.term()) {
-    // Another holder has given orders in between.
+    // Another holder may have ordered replicas since.
     Plans.clear();
     PlansTerm = Duties.term();
   }
@@ -39,14 +40,14 @@
 void ReplicaOrders::plan(Instant now) {
   const bool isLogged = now - LoggedAt > LogInterval;
   for (const ServingService &service : State.Plan->plan().Services) {
-    // While a service moves, both versions' replicas are there on purpose.
+    // During a rollout, both versions have replicas on purpose.
     if (!service.Scaling || !service.Engine || State.IsRollingOut(service.Name))
       continue;
     const auto [it, isNew] =
         Plans.try_emplace(service.Name, *service.Scaling, *service.Engine);
     std::map<ZoneId, ZoneReplicas> seen;
-    // After a move the replicas of the other version are still listed for a
-    // while although they get no calls.
+    // After a rollout, the replicas of the other version stay listed for a
+    // while but get no calls.
     const VersionPreference version = State.VersionFor(service.Name, "");
     for (const ReplicaRecord &record : State.Replicas.records()) {
       if (record.OfService != service.Name ||
@@ -89,9 +90,10 @@
   }
 }
 
-/// Goes on as soon as the pace allows. At a reclaim the orders for all zones
-/// are due at the same time, and each quarter of a second that one waits for
-/// the next tick is a quarter more without its replicas.
+/// Sends the next order as soon as the rate limit allows. After a reclaim, the
+/// orders for all zones are due at the same time; waiting for the next tick
+/// would leave the service without the ordered replicas for up to a quarter of
+/// a second more each.
 void ReplicaOrders::scheduleSend(Instant at) {
   SendTimer.expires_after(at - bootNow());
   SendTimer.async_wait([this](boost::system::error_code ec) {
@@ -104,7 +106,8 @@
 void ReplicaOrders::send(Instant now) {
   if (IsSending || Waiting.empty())
     return;
-  // The cloud refuses what comes faster; its pace is for all duties together.
+  // The cloud refuses calls beyond its rate limit, which applies to all duties
+  // together.
   const Duration gap =
       fromSeconds(PacePart / State.Settings.DutyCallsPerSecond);
   if (now - SentAt < gap)
--- a/Services/sorrelbayd/UsageRecord.cpp
+++ b/Services/sorrelbayd/UsageRecord.cpp
@@ -59,13 +59,13 @@
     for (const json &it : body.at("windows"))
       out.Settled[it.at("window").get<WindowNumber>()] = {
           toCounts(it.at("counts")), it.at("accepted").get<bool>()};
-    // A holder of an earlier version kept no more.
+    // Records of an earlier version have no "known".
     if (const auto known = body.find("known"); known != body.end())
       for (const json &it : *known)
         out.Known[it.at("window").get<WindowNumber>()] = toKnown(it);
     return out;
   } catch (const json::exception &error) {
-    throw UsageRecordMalformed(std::string("usage record: ") + error.what());
+    throw UsageRecordMalformed(std::string("malformed usage record: ") + error.what());
   }
 }
 
--- a/Services/sorrelbayd/UsageReporter.cpp
+++ b/Services/sorrelbayd/UsageReporter.cpp
@@ -5,16 +5,16 @@
 namespace sorrelbay {
 
 static constexpr const char *RecordName = "recent";
-/// After a window's end until all hosts' counts of it have arrived.
+/// Time after a window's end within which all hosts' counts of it arrive.
 static constexpr Duration SettleTime = milliseconds(1200);
-/// A silent host is waited for until this part of the due time has passed ...
+/// Share of the due time for which a window waits for silent hosts.
 static constexpr double LongestSettle = 0.5;
-/// ... unless silent hosts are this part of all at the most: what they counted
-/// puts the sum off by less than matters.
+/// A window does not wait if at most this share of all hosts is silent: what
+/// they counted changes the sum too little to matter.
 static constexpr double NegligibleShare = 0.025;
-/// Between two records of what is known of the windows that go on.
+/// Interval at which the counts known so far of unsettled windows are stored.
 static constexpr Duration KeepInterval = seconds(1);
-/// Windows that are kept in the record.
+/// Number of windows kept in the record.
 static constexpr std::size_t MostRecorded = 12;
 
 UsageReporter::UsageReporter(GatewayState &state, const DutyLease &duties)
@@ -54,8 +54,9 @@
                          });
 }
 
-/// A host that is silent may have been stopped for a while with counts that
-/// nobody has heard of yet; it is waited for as long as the report is not late.
+/// Whether the window's counts are final. A silent host may have been suspended
+/// and hold counts that no other host has received; it is waited for as long as
+/// the report is not late.
 bool UsageReporter::isSettled(WindowNumber window, Instant now) const {
   const Duration age = State.Time.at(now) - State.Usage.endOf(window);
   const Duration longest =
@@ -93,8 +94,8 @@
       tick(bootNow());
       return;
     }
-    // Not recorded, or not known to be: nothing may be reported from it before
-    // the store has been read again.
+    // The record was not written, or it is not known whether it was: nothing
+    // may be reported from it before the store has been read again.
     Settled.clear();
     RecordTerm.reset();
   };
@@ -126,7 +127,8 @@
                                   if (result != CloudResult::Accepted)
                                     return;
                                   Settled[window].IsAccepted = true;
-                                  // A new holder has windows to catch up with.
+                                  // A new holder may have more windows to
+                                  // report.
                                   tick(bootNow());
                                 });
 }
@@ -139,7 +141,7 @@
     for (const auto &[window, known] : record.Known)
       State.Usage.mergeSnapshot(window, known);
   } catch (const UsageRecordMalformed &error) {
-    LogLine(Severity::Error, "usage record can't be read")
+    LogLine(Severity::Error, "usage record is malformed")
         .field("why", error.what());
   }
 }
