--- a/Services/sorrelbayd/DutyLease.cpp
+++ b/Services/sorrelbayd/DutyLease.cpp
@@ -12,7 +12,7 @@
 static constexpr Duration TermMargin = seconds(1);
 /// Number of hosts of a group that stand by to take the lease. If all did, a
 /// large fleet would query the store for it hundreds of times a second.
-static constexpr std::size_t Standbys = 3;
+static constexpr std::size_t StandbyCount = 3;
 
 static LeaderLeaseSettings leaseSettings(const GatewayBounds &bounds) {
   LeaderLeaseSettings settings;
@@ -31,7 +31,7 @@
 
 bool DutyLease::mayStandBy(Instant now) const {
   return !State.isStopping() && !State.Fleet.holdsDuties(now) &&
-         State.Fleet.isAmongFirst(State.Self(), Standbys, now);
+         State.Fleet.isAmongFirst(State.Self(), StandbyCount, now);
 }
 
 void DutyLease::tick(Instant now) {
@@ -42,7 +42,7 @@
         .field("revision", static_cast<std::int64_t>(Lease.fencing()));
   }
   noteReportedHolders(now);
-  if (IsWaiting)
+  if (IsCallPending)
     return;
   if (!WasHeld && !mayStandBy(now))
     return;
@@ -60,7 +60,7 @@
   }
 }
 
-void DutyLease::tell(FleetMember &self, Instant now) const {
+void DutyLease::addLeaseTo(FleetMember &self, Instant now) const {
   self.HoldsDuties = isHeld(now);
   if (!self.HoldsDuties)
     return;
@@ -72,18 +72,18 @@
   for (const KnownMember &it : State.Fleet.members()) {
     if (it.Member.LeaseRevision == 0)
       continue;
-    SeenFencing = std::max(SeenFencing, it.Member.FencingToken);
+    HighestFencingToken = std::max(HighestFencingToken, it.Member.FencingToken);
     Lease.noteReported(
         {IncarnationId(it.Member.Host.text()), it.Member.LeaseRevision}, now);
   }
 }
 
 void DutyLease::read(Instant /*now*/) {
-  IsWaiting = true;
+  IsCallPending = true;
   State.Hooks.Store.Read(
       ResourceKind::Duties, LeaseName,
       [this](const StoreResult<Resource> &result) {
-        IsWaiting = false;
+        IsCallPending = false;
         const Instant now = bootNow();
         if (!result.Got) {
           if (result.Failure == StoreFailure::Missing)
@@ -94,17 +94,18 @@
             nlohmann::json::parse(result.Got->Body, nullptr, false);
         LeaseState seen;
         std::uint64_t fencing = 0;
-        bool isOwnEarlier = false;
+        bool isFromEarlierProcess = false;
         seen.Version = result.Got->Revision;
         if (body.is_object()) {
           seen.Holder = IncarnationId(body.value("holder", ""));
           fencing = body.value("fencing", std::uint64_t{0});
-          SeenFencing = std::max(SeenFencing, fencing);
-          isOwnEarlier = body.value("host", "") == State.Settings.Host.text() &&
-                         seen.Holder != State.Incarnation;
+          HighestFencingToken = std::max(HighestFencingToken, fencing);
+          isFromEarlierProcess =
+              body.value("host", "") == State.Settings.Host.text() &&
+              seen.Holder != State.Incarnation;
         }
         Lease.noteRead(seen, now);
-        if (isOwnEarlier)
+        if (isFromEarlierProcess)
           Lease.noteReleased();
         // This host's own write, whose response was lost along with the fencing
         // token.
@@ -115,7 +116,8 @@
 
 void DutyLease::write(Instant now) {
   const bool isRenewal = Lease.isHeld(now);
-  const std::uint64_t fencing = isRenewal ? FencingToken : SeenFencing + 1;
+  const std::uint64_t fencing =
+      isRenewal ? FencingToken : HighestFencingToken + 1;
   Resource object;
   object.Name = LeaseName;
   object.Revision = Lease.expectedVersion();
@@ -124,17 +126,17 @@
       {"host", State.Settings.Host.text()},
       // A write that changes nothing gets no new revision from the store, and
       // other hosts would see a lease that is not renewed.
-      {"renewals", ++Renewals},
+      {"renewals", ++LeaseWrites},
       {"fencing",
        fencing}}.dump();
-  IsWaiting = true;
+  IsCallPending = true;
   const auto done = [this, now, fencing](const StoreResult<Resource> &result) {
-    IsWaiting = false;
+    IsCallPending = false;
     const Instant at = bootNow();
     if (result.Got) {
       Lease.noteWritten(result.Got->Revision, now, at);
       FencingToken = fencing;
-      SeenFencing = fencing;
+      HighestFencingToken = fencing;
     } else if (result.Failure == StoreFailure::Unknown) {
       Lease.noteUnknown(now, at);
     } else if (result.Failure != StoreFailure::Unavailable) {
--- a/Services/sorrelbayd/DutyLease.h
+++ b/Services/sorrelbayd/DutyLease.h
@@ -19,7 +19,7 @@
   bool isHeld(Instant now) const { return Lease.isHeld(now); }
   LeaseHolder stamp() const;
   /// Adds the lease, if it is held, to this host's entry for reports to peers.
-  void tell(FleetMember &self, Instant now) const;
+  void addLeaseTo(FleetMember &self, Instant now) const;
   /// Number of the term; increases each time the lease is acquired.
   std::uint64_t term() const { return FencingToken; }
 
@@ -33,11 +33,11 @@
   LeaderLease Lease;
   /// The highest fencing token seen in the store or in peers' reports, and this
   /// host's own.
-  std::uint64_t SeenFencing = 0;
+  std::uint64_t HighestFencingToken = 0;
   std::uint64_t FencingToken = 0;
   /// Lease writes by this process.
-  std::uint64_t Renewals = 0;
-  bool IsWaiting = false;
+  std::uint64_t LeaseWrites = 0;
+  bool IsCallPending = false;
   bool WasHeld = false;
 };
 
--- a/Services/sorrelbayd/Gateway.cpp
+++ b/Services/sorrelbayd/Gateway.cpp
@@ -15,14 +15,14 @@
 /// Interval of the periodic work, which sends a report to peers.
 constexpr Duration TickInterval = milliseconds(250);
 /// Most addresses in the response to an address lookup.
-constexpr std::size_t MostAddresses = 64;
+constexpr std::size_t MaxLookupAddresses = 64;
 /// How long callers keep an address from a lookup, unless AddressTimeToLive is
 /// shorter.
-constexpr Duration UsualAddressLife = seconds(2);
+constexpr Duration LookupTimeToLive = seconds(2);
 /// While the host stops, connections are closed after this time without a
 /// request. Callers need the time to learn of the stop from their address
 /// lookups.
-constexpr Duration QuietWhileStopping = milliseconds(1200);
+constexpr Duration IdleTimeoutWhileStopping = milliseconds(1200);
 /// Number of times that a view of the store is confirmed within the tightest
 /// bound on its age.
 constexpr int ConfirmsPerBound = 4;
@@ -31,14 +31,14 @@
 /// ones may be older than that by more than OldBySilent wait limits.
 constexpr int SilencesPerBound = 2;
 constexpr int OldBySilent = 2;
-constexpr Duration LongestWatch = milliseconds(500);
+constexpr Duration MaxWatchWait = milliseconds(500);
 /// Changes within 1/BatchesPerBound of the tightest bound are fetched together.
-constexpr int GathersPerBound = 20;
+constexpr int BatchesPerBound = 20;
 /// Time by which a watch may return late.
 constexpr Duration WatchDelay = milliseconds(400);
 /// How long a watch for rollout orders waits. They are rare, and no bound
 /// depends on the age of that view.
-constexpr Duration MoveWatch = seconds(5);
+constexpr Duration RolloutWatchWait = seconds(5);
 constexpr int Ok = 200;
 constexpr int NotFound = 404;
 constexpr int Unavailable = 503;
@@ -48,28 +48,33 @@
 Gateway::Gateway(GatewaySettings settings, const MakeHooks &makeHooks)
     : Work(boost::asio::make_work_guard(Loop)),
       State(Loop, std::move(settings), makeHooks(Loop)), Duties(State),
-      Usage(State, Duties), Orders(State, Duties), Moves(State, Duties),
+      Usage(State, Duties), Orders(State, Duties),
+      ServiceRollouts(State, Duties),
       Fleet(State, {[this] { return localMember(); },
-                    [this](ReportScope scope) { return Moves.news(scope); },
-                    [this](const std::string &news) {
-                      Moves.receive(news, bootNow());
+                    [this](ReportScope scope) {
+                      return ServiceRollouts.encodedKnowledge(scope);
                     },
-                    [this](const RelayedChanges &news) { takeNews(news); }}),
+                    [this](const std::string &encoded) {
+                      ServiceRollouts.mergePeerKnowledge(encoded, bootNow());
+                    },
+                    [this](const RelayedChanges &relayed) {
+                      applyRelayedChanges(relayed);
+                    }}),
       TickTimer(Loop) {
   State.Replicas.setRegions(State.Settings.RegionOf);
   State.Self = [this] { return Fleet.self(); };
-  State.NotifyPeers = [this] { Fleet.publishSoon(); };
+  State.NotifyPeers = [this] { Fleet.publishPromptly(); };
   State.VersionFor = [this](const ServiceId &service,
                             const std::string &callId) {
-    return Moves.versionFor(service, callId, bootNow());
+    return ServiceRollouts.versionFor(service, callId, bootNow());
   };
   State.RecordOutcome = [this](const ServiceId &service,
                                const VersionId &version, const RouteId &route,
                                UpstreamOutcome outcome) {
-    Moves.record(service, version, route, outcome);
+    ServiceRollouts.record(service, version, route, outcome);
   };
   State.IsRollingOut = [this](const ServiceId &service) {
-    return Moves.isRollingOut(service);
+    return ServiceRollouts.isRollingOut(service);
   };
 }
 
@@ -85,11 +90,11 @@
     HttpLimits limits;
     if (!State.Plan)
       return limits;
-    const CallLimits &signedOff = State.Plan->plan().Limits;
-    limits.MaxHeaderBytes = signedOff.MaxHeaderBytes;
-    limits.MaxBodyBytes = signedOff.MaxBodyBytes;
-    limits.ReadTimeout = signedOff.HeaderTimeout;
-    limits.IdleTimeout = signedOff.IdleTimeout;
+    const CallLimits &planLimits = State.Plan->plan().Limits;
+    limits.MaxHeaderBytes = planLimits.MaxHeaderBytes;
+    limits.MaxBodyBytes = planLimits.MaxBodyBytes;
+    limits.ReadTimeout = planLimits.HeaderTimeout;
+    limits.IdleTimeout = planLimits.IdleTimeout;
     return limits;
   };
   callers.Handle = [this](std::shared_ptr<HttpExchange> exchange) {
@@ -101,9 +106,9 @@
   AsyncHttpServerHooks readiness;
   readiness.Limits = [] { return HttpLimits{}; };
   readiness.Handle = [this](const std::shared_ptr<HttpExchange> &exchange) {
-    const bool isAsked = State.Hooks.IsReadinessProbe(exchange->request());
+    const bool isProbe = State.Hooks.IsReadinessProbe(exchange->request());
     const int status = isReady(bootNow()) ? Ok : Unavailable;
-    exchange->respond(isAsked ? status : NotFound, {}, "");
+    exchange->respond(isProbe ? status : NotFound, {}, "");
   };
   Readiness = std::make_unique<AsyncHttpServer>(
       Loop, State.Settings.ReadinessListen, readiness);
@@ -140,8 +145,8 @@
   const Duration bound =
       std::min(State.Settings.Bounds.PlanInForce, State.Settings.Bounds.Drain);
   settings.WaitLimit =
-      std::min<Duration>(LongestWatch, bound / ConfirmsPerBound);
-  settings.BatchDelay = bound / GathersPerBound;
+      std::min<Duration>(MaxWatchWait, bound / ConfirmsPerBound);
+  settings.BatchDelay = bound / BatchesPerBound;
   // One host watches the store for the fleet. Another replaces it within about
   // a second; only if none does should the other hosts query the store
   // themselves.
@@ -172,13 +177,18 @@
     State.Replicas.noteConfirmed(begun);
   };
   Replicas = makeWatcher(ResourceKind::Replicas, settings, replicas);
-  ResourceWatcherHooks moves;
-  moves.OnObject = [this](const Resource &object) { Moves.take(object); };
-  moves.OnRemoved = [this](const std::string &name) { Moves.remove(name); };
-  moves.OnConfirmed = [](Instant) {};
-  ResourceWatcherSettings rare = settings;
-  rare.WaitLimit = MoveWatch;
-  RolloutOrders = makeWatcher(ResourceKind::Moves, rare, moves);
+  ResourceWatcherHooks rolloutHooks;
+  rolloutHooks.OnObject = [this](const Resource &object) {
+    ServiceRollouts.applyOrder(object);
+  };
+  rolloutHooks.OnRemoved = [this](const std::string &name) {
+    ServiceRollouts.remove(name);
+  };
+  rolloutHooks.OnConfirmed = [](Instant) {};
+  ResourceWatcherSettings rolloutSettings = settings;
+  rolloutSettings.WaitLimit = RolloutWatchWait;
+  RolloutOrders =
+      makeWatcher(ResourceKind::Moves, rolloutSettings, rolloutHooks);
   Plans->start();
   Replicas->start();
   RolloutOrders->start();
@@ -186,7 +196,7 @@
     watchEvacuations(settings);
 }
 
-void Gateway::watchEvacuations(const ResourceWatcherSettings &usual) {
+void Gateway::watchEvacuations(const ResourceWatcherSettings &commonSettings) {
   ResourceWatcherHooks hooks;
   hooks.OnObject = [this](const Resource &order) {
     const ZoneId zone(order.Name);
@@ -204,7 +214,7 @@
   hooks.OnConfirmed = [this](Instant begun) {
     State.EvacuationsConfirmedAt = begun;
   };
-  ResourceWatcherSettings settings = usual;
+  ResourceWatcherSettings settings = commonSettings;
   settings.WaitLimit = State.Settings.Bounds.Evacuation / ConfirmsPerBound;
   settings.BatchDelay = Duration::zero();
   settings.SilentWaitLimits = ConfirmsPerBound / 2;
@@ -216,9 +226,11 @@
 std::unique_ptr<ResourceWatcher>
 Gateway::makeWatcher(ResourceKind kind, const ResourceWatcherSettings &settings,
                      ResourceWatcherHooks hooks) {
-  hooks.OnWatched =
-      [this, kind](std::uint64_t from, const ResourceChanges &changes,
-                   Instant begun) { Fleet.passOn(kind, from, changes, begun); };
+  hooks.OnWatched = [this, kind](std::uint64_t from,
+                                 const ResourceChanges &changes,
+                                 Instant begun) {
+    Fleet.relayChanges(kind, from, changes, begun);
+  };
   hooks.IsPolling = [this] { return Fleet.leads(bootNow()); };
   hooks.IsUnreached = [this] { return State.Reach.isUnreached(); };
   hooks.IsProber = [kind] { return kind == ResourceKind::Plan; };
@@ -226,16 +238,16 @@
                                            settings, std::move(hooks));
 }
 
-void Gateway::takeNews(const RelayedChanges &news) {
+void Gateway::applyRelayedChanges(const RelayedChanges &relayed) {
   const Instant now = bootNow();
-  if (news.Kind == ResourceKind::Plan)
-    Plans->receive(news, now);
-  else if (news.Kind == ResourceKind::Replicas)
-    Replicas->receive(news, now);
-  else if (news.Kind == ResourceKind::Moves)
-    RolloutOrders->receive(news, now);
-  else if (news.Kind == ResourceKind::Evacuations && Evacuations)
-    Evacuations->receive(news, now);
+  if (relayed.Kind == ResourceKind::Plan)
+    Plans->receive(relayed, now);
+  else if (relayed.Kind == ResourceKind::Replicas)
+    Replicas->receive(relayed, now);
+  else if (relayed.Kind == ResourceKind::Moves)
+    RolloutOrders->receive(relayed, now);
+  else if (relayed.Kind == ResourceKind::Evacuations && Evacuations)
+    Evacuations->receive(relayed, now);
 }
 
 static QueueWaitLimits firstTokenLimits(const ServingPlan &plan) {
@@ -320,7 +332,7 @@
   Duties.tick(now);
   Usage.tick(now);
   Orders.tick(now);
-  Moves.tick(now);
+  ServiceRollouts.tick(now);
   updateRetryBudgets();
   Fleet.tick(now);
   State.logStoreCalls(now);
@@ -333,7 +345,7 @@
   const RetryBudgetShare part = retryBudgetShare(
       bounds.RetryShare, bounds.RetrySlack, State.Fleet.hostCount());
   for (const ServingService &it : State.Plan->plan().Services) {
-    const auto [budget, isNew] = State.Repeats.try_emplace(
+    const auto [budget, isNew] = State.RetryBudgets.try_emplace(
         it.Name, part.Share, part.MaxBalance, part.Begin);
     budget->second.setMaxBalance(part.MaxBalance);
   }
@@ -346,7 +358,7 @@
   self.IsReady = isReady(now);
   self.IsLeaving = State.isStopping();
   self.IsStoreUnreachable = State.Reach.isStoreUnreachable(now);
-  Duties.tell(self, now);
+  Duties.addLeaseTo(self, now);
   return self;
 }
 
@@ -362,29 +374,29 @@
 void Gateway::answerAddresses(HttpExchange &exchange) {
   const Instant now = bootNow();
   std::vector<std::string> addresses;
-  std::vector<std::string> silent;
+  std::vector<std::string> silentHosts;
   if (isReady(now))
     addresses.push_back(Callers->address());
   for (const KnownMember &it : State.Fleet.members()) {
     if (it.Member.IsLeaving)
       continue;
     const bool isGood = it.Member.IsReady && State.Fleet.isAnswering(it, now);
-    (isGood ? addresses : silent).push_back(it.Member.CallerAddress);
+    (isGood ? addresses : silentHosts).push_back(it.Member.CallerAddress);
   }
   // A caller is better off with the address of a silent host than with none.
   if (addresses.empty())
-    addresses = silent;
+    addresses = silentHosts;
   if (addresses.empty() && !State.isStopping())
     addresses.push_back(Callers->address());
-  if (addresses.size() > MostAddresses) {
+  if (addresses.size() > MaxLookupAddresses) {
     std::shuffle(addresses.begin(), addresses.end(), State.Random);
-    addresses.resize(MostAddresses);
+    addresses.resize(MaxLookupAddresses);
   }
-  const Duration life =
-      std::min(UsualAddressLife, State.Settings.Bounds.AddressTimeToLive);
+  const Duration lookupTimeToLive =
+      std::min(LookupTimeToLive, State.Settings.Bounds.AddressTimeToLive);
   exchange.respond(addresses.empty() ? Unavailable : Ok,
                    {{"Content-Type", "application/json"}},
-                   State.Hooks.AddressesBody(addresses, life));
+                   State.Hooks.AddressesBody(addresses, lookupTimeToLive));
 }
 
 void Gateway::start() {
@@ -418,20 +430,20 @@
   boost::asio::post(Loop, [this, &left] {
     State.StoppingSince = bootNow();
     Fleet.publish(bootNow());
-    Callers->beginClosing(QuietWhileStopping);
+    Callers->beginClosing(IdleTimeoutWhileStopping);
     Fleet.leave();
     left.set_value();
   });
   left.get_future().wait();
   const Duration grace = State.Settings.Bounds.Grace;
   const Instant until = begun + grace - stopMargin(grace);
-  const Duration least = UsualAddressLife;
+  const Duration shortestStop = LookupTimeToLive;
   while (bootNow() < until) {
     std::this_thread::sleep_for(TickInterval);
     std::promise<bool> quiet;
     boost::asio::post(
         Loop, [this, &quiet] { quiet.set_value(Callers->connections() == 0); });
-    if (quiet.get_future().get() && bootNow() - begun > least)
+    if (quiet.get_future().get() && bootNow() - begun > shortestStop)
       break;
   }
   LogLine(Severity::Info, "stopped")
--- a/Services/sorrelbayd/Gateway.h
+++ b/Services/sorrelbayd/Gateway.h
@@ -47,12 +47,12 @@
   void watchStore();
   void applyPlan(const Resource &object);
   void applyReplica(const Resource &object);
-  void watchEvacuations(const ResourceWatcherSettings &usual);
+  void watchEvacuations(const ResourceWatcherSettings &commonSettings);
   void repeat(boost::asio::steady_timer &timer, Duration interval,
               std::function<void()> work);
   void tick();
   FleetMember localMember() const;
-  void takeNews(const RelayedChanges &news);
+  void applyRelayedChanges(const RelayedChanges &relayed);
   std::unique_ptr<ResourceWatcher>
   makeWatcher(ResourceKind kind, const ResourceWatcherSettings &settings,
               ResourceWatcherHooks hooks);
@@ -66,7 +66,7 @@
   DutyLease Duties;
   UsageReporter Usage;
   ReplicaOrders Orders;
-  GatewayRollouts Moves;
+  GatewayRollouts ServiceRollouts;
   GatewayFleet Fleet;
   std::unique_ptr<AsyncHttpServer> Callers;
   std::unique_ptr<AsyncHttpServer> Readiness;
--- a/Services/sorrelbayd/GatewayCall.cpp
+++ b/Services/sorrelbayd/GatewayCall.cpp
@@ -19,30 +19,30 @@
 
 /// Default wait limit of callers that state none, and of routes without a
 /// timeout.
-constexpr Duration UsualPatience = seconds(30);
+constexpr Duration DefaultWaitLimit = seconds(30);
 /// Most failed connection attempts, with nothing sent, that are followed by an
 /// attempt at another upstream.
-constexpr int MostNotSent = 3;
+constexpr int MaxFailedConnects = 3;
 /// A call that may run only once uses a pooled connection only if it was in use
 /// this recently: a connection that the upstream has just closed would lose the
 /// call.
 constexpr Duration OnceOnlyFreshness = seconds(1);
-constexpr Duration UsualFreshness = seconds(3);
+constexpr Duration DefaultFreshness = seconds(3);
 /// Responses up to this size are relayed once they are complete.
-constexpr std::size_t WholeAnswerBytes = 256UL * 1024;
+constexpr std::size_t MaxBufferedResponse = 256UL * 1024;
 /// Reading from the upstream pauses while more than this many bytes wait for a
 /// slow caller.
-constexpr std::size_t MostWaitingBytes = 256UL * 1024;
+constexpr std::size_t MaxQueuedBytes = 256UL * 1024;
 /// Share of the caller's remaining time that Retry-After may take.
-constexpr double RetryPart = 0.3;
-/// An idempotent call is taken away from an upstream that has not responded
-/// within its latency target times this factor.
-constexpr int SilenceTargets = 3;
+constexpr double MaxRetryAfterShare = 0.3;
+/// An idempotent call is sent to another upstream if no response has arrived
+/// after this multiple of the route's latency target.
+constexpr int SilenceTimeoutFactor = 3;
 /// Prompts whose prefill takes at least this long are reported to peers at
 /// once, so that they do not send other calls to the same engine.
 constexpr Duration LargePrompt = milliseconds(100);
 /// Margin before the end of the key removal bound.
-constexpr Duration KeyMargin = milliseconds(100);
+constexpr Duration KeyRemovalMargin = milliseconds(100);
 
 } // namespace
 
@@ -67,18 +67,19 @@
   if (!findRoute() || !findTeam())
     return;
   const Duration waitLimit = std::min(
-      Call.WaitLimit.value_or(UsualPatience),
-      Route->Timeout > Duration::zero() ? Route->Timeout : UsualPatience);
-  Life.emplace(Route->Kind, std::max(1, Route->MaxAttempts),
-               ReceivedAt + waitLimit);
-  const WeightedService *service = chooseService(*Route, State.draw());
+      Call.WaitLimit.value_or(DefaultWaitLimit),
+      Route->Timeout > Duration::zero() ? Route->Timeout : DefaultWaitLimit);
+  RetryState.emplace(Route->Kind, std::max(1, Route->MaxAttempts),
+                     ReceivedAt + waitLimit);
+  const WeightedService *service =
+      chooseService(*Route, State.randomFraction());
   if (!service)
     return refuse(Unavailable, "route_without_service", std::nullopt);
   Service = service->Name;
   Work.Tokens = Call.PromptTokens.value_or(0) + Call.MaxOutputTokens;
-  const auto repeats = State.Repeats.find(Service);
-  if (repeats != State.Repeats.end())
-    repeats->second.noteCall();
+  const auto retryBudget = State.RetryBudgets.find(Service);
+  if (retryBudget != State.RetryBudgets.end())
+    retryBudget->second.noteCall();
   if (!chargeUnits() || !admit())
     return;
   Exchange->onClientDisconnected(
@@ -106,7 +107,7 @@
   const GatewayBounds &bounds = State.Settings.Bounds;
   // The key may have been removed since the plan was confirmed; a host that is
   // cut off from the store would go on accepting it indefinitely.
-  if (bounds.KeysFailClosed && age > bounds.KeyRemoval - KeyMargin) {
+  if (bounds.KeysFailClosed && age > bounds.KeyRemoval - KeyRemovalMargin) {
     refuse(Unavailable, "keys_stale", jitteredRetryAfter(milliseconds(300)));
     return false;
   }
@@ -128,24 +129,25 @@
   if (Team->CountsTokens)
     Units = Call.PromptTokens ? *Call.PromptTokens + Call.MaxOutputTokens
                               : Team->FallbackTokens;
-  TeamRateLimiter &meter = State.RateLimiters[Team->Name];
+  TeamRateLimiter &rateLimiter = State.RateLimiters[Team->Name];
   const GatewayBounds &bounds = State.Settings.Bounds;
   const Allotment allotment =
       allotmentFor(*Team, State.Fleet.isAggregatedByZone(),
                    {bounds.AllotmentSlack, bounds.AllotmentWindow});
-  HasUnits = meter.take(Units, allotment.Rate, allotment.Burst, ReceivedAt);
-  if (HasUnits)
+  HasChargedUnits =
+      rateLimiter.take(Units, allotment.Rate, allotment.Burst, ReceivedAt);
+  if (HasChargedUnits)
     return true;
   refuse(TooManyRequests, "beyond_allotment",
-         jitteredRetryAfter(
-             std::max<Duration>(milliseconds(100), meter.wait(Team->Rate))));
+         jitteredRetryAfter(std::max<Duration>(milliseconds(100),
+                                               rateLimiter.wait(Team->Rate))));
   return false;
 }
 
 bool GatewayCall::admit() {
   if (!State.StoppingSince)
     return true;
-  const Duration waitLimit = Life->deadline() - ReceivedAt;
+  const Duration waitLimit = RetryState->deadline() - ReceivedAt;
   if (acceptsCallWhileStopping(ReceivedAt - *State.StoppingSince,
                                State.Settings.Bounds.Grace, waitLimit))
     return true;
@@ -156,13 +158,14 @@
 }
 
 void GatewayCall::armTimer() {
-  Instant at = Life->deadline();
-  const bool mayMove = IsOpen && !Now.HasFirstByte &&
-                       Route->Kind == Repeatability::Idempotent &&
-                       Life->sends() < Route->MaxAttempts &&
-                       Route->LatencyTarget > Duration::zero();
-  if (mayMove)
-    at = std::min(at, Now.At + Route->LatencyTarget * SilenceTargets);
+  Instant at = RetryState->deadline();
+  const bool canSwitchUpstream = IsOpen && !CurrentSend.HasFirstByte &&
+                                 Route->Kind == Repeatability::Idempotent &&
+                                 RetryState->sends() < Route->MaxAttempts &&
+                                 Route->LatencyTarget > Duration::zero();
+  if (canSwitchUpstream)
+    at = std::min(at,
+                  CurrentSend.At + Route->LatencyTarget * SilenceTimeoutFactor);
   Timer.expires_after(std::max<Duration>(at - bootNow(), Duration::zero()));
   Timer.async_wait([self = shared_from_this()](boost::system::error_code ec) {
     if (!ec && !self->IsDone)
@@ -172,15 +175,15 @@
 
 void GatewayCall::onTimer() {
   const Instant now = bootNow();
-  if (now < Life->deadline()) {
+  if (now < RetryState->deadline()) {
     // The upstream has not responded; another one may still respond in time.
-    if (IsOpen && !Now.HasFirstByte && mayRepeat()) {
+    if (IsOpen && !CurrentSend.HasFirstByte && takeRetryFromBudget()) {
       Handle->cancel();
-      Life->recordFailure();
+      RetryState->recordFailure();
       endSend(SendResult::Broken);
       return trySend();
     }
-    Timer.expires_after(Life->deadline() - now);
+    Timer.expires_after(RetryState->deadline() - now);
     Timer.async_wait([self = shared_from_this()](boost::system::error_code ec) {
       if (!ec && !self->IsDone)
         self->onTimer();
@@ -190,21 +193,22 @@
   if (IsOpen) {
     Handle->cancel();
     if (!HasBegun)
-      Life->recordFailure();
-    endSend(Now.HasFirstByte ? SendResult::Inconclusive : SendResult::Broken);
+      RetryState->recordFailure();
+    endSend(CurrentSend.HasFirstByte ? SendResult::Inconclusive
+                                     : SendResult::Broken);
   }
   if (!HasBegun)
     return finishLocally("deadline");
-  cut("deadline");
+  abortResponse("deadline");
 }
 
 /// Takes one retry of this call out of the retry budget; false if none is left
 /// or the route's attempts are used up.
-bool GatewayCall::mayRepeat() {
-  if (Life->sends() >= Route->MaxAttempts)
+bool GatewayCall::takeRetryFromBudget() {
+  if (RetryState->sends() >= Route->MaxAttempts)
     return false;
-  auto it = State.Repeats.find(Service);
-  return it != State.Repeats.end() &&
+  auto it = State.RetryBudgets.find(Service);
+  return it != State.RetryBudgets.end() &&
          it->second.takeRetry(RetryLayer::EntryHost);
 }
 
@@ -257,14 +261,14 @@
 bool GatewayCall::exceedsFirstTokenLimit(const ReplicaChoice &choice) const {
   if (!Route->IsStream || !State.Replicas.modelOf(Service).hasEnoughSamples())
     return false;
-  const Duration longest = State.FirstTokens.maxQueueWait(
+  const Duration queueWaitLimit = State.FirstTokens.maxQueueWait(
       {Service, priority(), Route->LatencyTarget});
-  return longest > Duration::zero() && choice.Wait > longest;
+  return queueWaitLimit > Duration::zero() && choice.Wait > queueWaitLimit;
 }
 
 void GatewayCall::trySend() {
   const Instant now = bootNow();
-  if (HasBegun ? !Life->canResume(now) : !Life->canSend(now))
+  if (HasBegun ? !RetryState->canResume(now) : !RetryState->canSend(now))
     return finishLocally("no_attempt_left");
   const auto chosen = chooseUpstream(now);
   if (!chosen)
@@ -272,42 +276,42 @@
                              ? "upstreams_cold"
                              : "no_upstream");
   const EngineModel &model = State.Replicas.modelOf(Service);
-  const double reading =
+  const double prefillMs =
       model.prefillTime(static_cast<double>(chosen->TokensToPrefill));
   if (!IsDemandCounted)
-    State.Demand.note(Service, reading, now);
+    State.Demand.note(Service, prefillMs, now);
   IsDemandCounted = true;
-  Now = {};
-  Now.Expected = *chosen;
-  if (Life->sends() == 0 && exceedsFirstTokenLimit(*chosen))
+  CurrentSend = {};
+  CurrentSend.Expected = *chosen;
+  if (RetryState->sends() == 0 && exceedsFirstTokenLimit(*chosen))
     return refuse(Unavailable, "first_token_too_late",
                   jitteredRetryAfter(chosen->Wait));
   const ReplicaRecord *replica = State.Replicas.find(chosen->Id);
   UpstreamAttempt attempt;
   attempt.Replica = chosen->Id;
   attempt.Address = replica->Address;
-  attempt.WaitLimit = Life->deadline() - now;
+  attempt.WaitLimit = RetryState->deadline() - now;
   if (Team)
     attempt.Team = Team->Name;
   attempt.Priority = priority();
   attempt.ResumeAfter = Events.lastId();
-  Now.Replica = chosen->Id;
-  Now.OfVersion = replica->OfVersion;
-  Now.At = now;
+  CurrentSend.Replica = chosen->Id;
+  CurrentSend.OfVersion = replica->OfVersion;
+  CurrentSend.At = now;
   IsOpen = true;
   Work.PromptTokens = chosen->TokensToPrefill;
   State.Replicas.noteSent(chosen->Id, Work, now);
   State.Replicas.notePrompt(chosen->Id, Call.Prompt, now);
-  if (fromSeconds(reading / 1000) >= LargePrompt)
+  if (fromSeconds(prefillMs / 1000) >= LargePrompt)
     State.NotifyPeers();
-  const bool isOnceOnly = Route->Kind == Repeatability::NonIdempotent;
+  const bool mayRunOnlyOnce = Route->Kind == Repeatability::NonIdempotent;
   Handle = State.Client.send(
       replica->Address, State.Hooks.UpstreamCall(Exchange->request(), attempt),
-      hooksFor(), isOnceOnly ? OnceOnlyFreshness : UsualFreshness);
+      upstreamHooks(), mayRunOnlyOnce ? OnceOnlyFreshness : DefaultFreshness);
   armTimer();
 }
 
-HttpCallHooks GatewayCall::hooksFor() {
+HttpCallHooks GatewayCall::upstreamHooks() {
   HttpCallHooks hooks;
   const auto self = shared_from_this();
   hooks.IsForThisCall = [self](const HttpReplyHead &head) {
@@ -315,8 +319,8 @@
     return id.empty() || id == self->Call.Id;
   };
   hooks.OnSending = [self] {
-    self->Now.WasSending = true;
-    self->Life->recordSend();
+    self->CurrentSend.WasSending = true;
+    self->RetryState->recordSend();
   };
   hooks.OnHead = [self](const HttpReplyHead &head) { self->onHead(head); };
   hooks.OnBody = [self](std::string_view bytes) { self->onBody(bytes); };
@@ -326,18 +330,18 @@
 }
 
 void GatewayCall::onHead(const HttpReplyHead &head) {
-  Now.Head = head;
-  const UpstreamReplyInfo verdict = State.Hooks.ReadReplyInfo(head);
-  Now.IsNotRun = verdict.IsNotRun;
-  const bool isNamed = !verdict.Id.empty() || Call.Id.empty();
+  CurrentSend.Head = head;
+  const UpstreamReplyInfo replyInfo = State.Hooks.ReadReplyInfo(head);
+  CurrentSend.IsNotRun = replyInfo.IsNotRun;
+  const bool hasCallId = !replyInfo.Id.empty() || Call.Id.empty();
   // A successful response without an id may belong to any call.
-  if (isSuccess() && !isNamed) {
+  if (isSuccess() && !hasCallId) {
     Handle->cancel();
     return onFailure(HttpFailure::Broken);
   }
   // An error response must not continue a response of which another attempt has
   // sent a part.
-  Now.IsDiscarded = Now.IsNotRun || (HasBegun && !isSuccess());
+  CurrentSend.IsDiscarded = CurrentSend.IsNotRun || (HasBegun && !isSuccess());
 }
 
 void GatewayCall::noteCallStarted() {
@@ -345,38 +349,39 @@
     return;
   IsCounted = true;
   State.Usage.noteCallStarted(
-      Team->Name, State.Time.at(Route->IsStream ? bootNow() : Now.At));
+      Team->Name, State.Time.at(Route->IsStream ? bootNow() : CurrentSend.At));
 }
 
 void GatewayCall::noteFirstByte() {
   const Instant now = bootNow();
-  Now.HasFirstByte = true;
-  Now.FirstByteAt = now;
-  State.Replicas.noteFirstByte(Now.Replica, Work);
-  const bool isRead = Route->IsStream && isSuccess() && !Now.IsNotRun;
-  if (isRead && Call.PromptTokens && !State.wasStalled(now)) {
-    const ReplicaChoice &expected = Now.Expected;
+  CurrentSend.HasFirstByte = true;
+  CurrentSend.FirstByteAt = now;
+  State.Replicas.noteFirstByte(CurrentSend.Replica, Work);
+  const bool isPromptRead =
+      Route->IsStream && isSuccess() && !CurrentSend.IsNotRun;
+  if (isPromptRead && Call.PromptTokens && !State.wasStalled(now)) {
+    const ReplicaChoice &expected = CurrentSend.Expected;
     State.Replicas.noteFirstToken(
-        Now.Replica, {expected.TokensToPrefill + expected.Ahead, now - Now.At},
-        now);
+        CurrentSend.Replica,
+        {expected.TokensToPrefill + expected.Ahead, now - CurrentSend.At}, now);
   }
   if (FirstByteAt == Instant{})
     FirstByteAt = now;
-  if (!Now.IsNotRun)
+  if (!CurrentSend.IsNotRun)
     noteCallStarted();
   armTimer();
 }
 
 void GatewayCall::onBody(std::string_view bytes) {
-  if (!Now.HasFirstByte) {
+  if (!CurrentSend.HasFirstByte) {
     noteFirstByte();
   }
-  if (Now.IsDiscarded)
+  if (CurrentSend.IsDiscarded)
     return;
   if (Route->IsStream && isSuccess())
-    return passOn(bytes);
+    return relayStream(bytes);
   Body.append(bytes);
-  if (Body.size() <= WholeAnswerBytes)
+  if (Body.size() <= MaxBufferedResponse)
     return;
   if (!HasBegun)
     beginResponse();
@@ -386,24 +391,24 @@
 
 void GatewayCall::beginResponse() {
   HasBegun = true;
-  Life->recordResponseStarted();
+  RetryState->recordResponseStarted();
   Exchange->onDrained([self = shared_from_this()] {
     if (self->IsOpen && self->Handle)
       self->Handle->resume();
   });
-  Exchange->begin(Now.Head.Status,
-                  State.Hooks.ResponseHeaders(Now.Head.Headers),
-                  Now.Head.Length);
+  Exchange->begin(CurrentSend.Head.Status,
+                  State.Hooks.ResponseHeaders(CurrentSend.Head.Headers),
+                  CurrentSend.Head.Length);
 }
 
-void GatewayCall::passOn(std::string_view bytes) {
+void GatewayCall::relayStream(std::string_view bytes) {
   if (!HasBegun)
     beginResponse();
   if (Route->IsResumable)
     Exchange->write(Events.feed(bytes));
   else
     Exchange->write(bytes);
-  if (Exchange->queuedBytes() > MostWaitingBytes)
+  if (Exchange->queuedBytes() > MaxQueuedBytes)
     Handle->pause();
 }
 
@@ -412,47 +417,48 @@
     return;
   IsOpen = false;
   recordOutcome(result);
-  State.Replicas.noteEnded(Now.Replica, Work, Now.HasFirstByte, result,
-                           bootNow());
+  State.Replicas.noteEnded(CurrentSend.Replica, Work, CurrentSend.HasFirstByte,
+                           result, bootNow());
 }
 
 /// Records the attempt's outcome for its version while the service is being
 /// rolled out.
 void GatewayCall::recordOutcome(SendResult result) {
   if (result == SendResult::TurnedAway || result == SendResult::Inconclusive ||
-      !Now.WasSending)
+      !CurrentSend.WasSending)
     return;
   UpstreamOutcome outcome = UpstreamOutcome::Failed;
   if (result == SendResult::Answered) {
-    const bool isLate = Route->LatencyTarget > Duration::zero() &&
-                        Now.FirstByteAt - Now.At > Route->LatencyTarget;
+    const bool isLate =
+        Route->LatencyTarget > Duration::zero() &&
+        CurrentSend.FirstByteAt - CurrentSend.At > Route->LatencyTarget;
     outcome = isLate ? UpstreamOutcome::Late : UpstreamOutcome::Good;
   }
-  State.RecordOutcome(Service, Now.OfVersion, Route->Name, outcome);
+  State.RecordOutcome(Service, CurrentSend.OfVersion, Route->Name, outcome);
 }
 
 void GatewayCall::onEnd() {
   if (IsDone)
     return;
-  if (Now.IsNotRun) {
-    Life->recordNotRun();
+  if (CurrentSend.IsNotRun) {
+    RetryState->recordNotRun();
     endSend(SendResult::TurnedAway);
     return retryOrFinish("upstream_turned_away");
   }
   if (!isSuccess()) {
     endSend(SendResult::Failed);
-    const bool mayGoOn = Now.Head.Status >= 500 && !HasBegun &&
-                         Route->Kind == Repeatability::Idempotent;
-    if (mayGoOn) {
+    const bool canRetry = CurrentSend.Head.Status >= 500 && !HasBegun &&
+                          Route->Kind == Repeatability::Idempotent;
+    if (canRetry) {
       const std::string body = std::move(Body);
       Body.clear();
-      Life->recordFailure();
-      if (Life->canSend(bootNow()) && mayRepeat())
+      RetryState->recordFailure();
+      if (RetryState->canSend(bootNow()) && takeRetryFromBudget())
         return trySend();
       Body = body;
     }
-    if (HasBegun && Now.IsDiscarded)
-      return cut("resume_failed");
+    if (HasBegun && CurrentSend.IsDiscarded)
+      return abortResponse("resume_failed");
     noteCallStarted();
     return finishResponse();
   }
@@ -465,9 +471,9 @@
   IsDone = true;
   Timer.cancel();
   if (!HasBegun) {
-    log("answered", Now.Head.Status, "");
-    Exchange->respond(Now.Head.Status,
-                      State.Hooks.ResponseHeaders(Now.Head.Headers),
+    log("answered", CurrentSend.Head.Status, "");
+    Exchange->respond(CurrentSend.Head.Status,
+                      State.Hooks.ResponseHeaders(CurrentSend.Head.Headers),
                       std::move(Body));
     return;
   }
@@ -475,27 +481,27 @@
     Exchange->write(Events.takePartialEvent());
   Exchange->write(Body);
   Exchange->end();
-  log("answered", Now.Head.Status, "");
+  log("answered", CurrentSend.Head.Status, "");
 }
 
 void GatewayCall::onFailure(HttpFailure why) {
   if (IsDone)
     return;
-  if (why == HttpFailure::NotSent && !Now.WasSending) {
+  if (why == HttpFailure::NotSent && !CurrentSend.WasSending) {
     endSend(SendResult::Broken);
-    if (++NotSent <= MostNotSent)
+    if (++FailedConnects <= MaxFailedConnects)
       return trySend();
     return finishLocally("no_connection");
   }
   if (HasBegun) {
     endSend(SendResult::Broken);
-    Life->recordFailure();
-    return resume() ? trySend() : cut("upstream_broke_off");
+    RetryState->recordFailure();
+    return resume() ? trySend() : abortResponse("upstream_broke_off");
   }
-  if (Now.IsNotRun)
-    Life->recordNotRun();
+  if (CurrentSend.IsNotRun)
+    RetryState->recordNotRun();
   else
-    Life->recordFailure();
+    RetryState->recordFailure();
   endSend(SendResult::Broken);
   Body.clear();
   retryOrFinish(why == HttpFailure::Truncated ? "upstream_truncated"
@@ -506,20 +512,21 @@
 /// the last complete event and within the same response, so that its caller
 /// sees a pause instead of a cut.
 bool GatewayCall::resume() {
-  if (!Route->IsResumable || !Life->canResume(bootNow()) || !mayRepeat())
+  if (!Route->IsResumable || !RetryState->canResume(bootNow()) ||
+      !takeRetryFromBudget())
     return false;
   Events.takePartialEvent();
   LogLine(Severity::Info, "stream goes on elsewhere")
       .field("id", Call.Id)
-      .field("from", Now.Replica.text())
+      .field("from", CurrentSend.Replica.text())
       .field("after_event", Events.lastId());
   return true;
 }
 
 /// Aborts a response that has begun and cannot be completed, so that its caller
 /// can tell.
-void GatewayCall::cut(const char *cause) {
-  log("cut", Now.Head.Status, cause);
+void GatewayCall::abortResponse(const char *cause) {
+  log("cut", CurrentSend.Head.Status, cause);
   IsDone = true;
   Timer.cancel();
   Exchange->abort();
@@ -528,8 +535,9 @@
 void GatewayCall::retryOrFinish(const char *cause) {
   Body.clear();
   const Instant now = bootNow();
-  const bool mayGoOn = HasBegun ? Life->canResume(now) : Life->canSend(now);
-  if (mayGoOn && mayRepeat())
+  const bool canRetry =
+      HasBegun ? RetryState->canResume(now) : RetryState->canSend(now);
+  if (canRetry && takeRetryFromBudget())
     return trySend();
   finishLocally(cause);
 }
@@ -547,8 +555,8 @@
 
 void GatewayCall::finishLocally(const char *cause) {
   if (HasBegun)
-    return cut(cause);
-  switch (Life->failureKind(bootNow())) {
+    return abortResponse(cause);
+  switch (RetryState->failureKind(bootNow())) {
   case CallFailureKind::NotRun:
     return refuse(Unavailable, cause, jitteredRetryAfter(milliseconds(100)));
   case CallFailureKind::Unknown:
@@ -561,11 +569,12 @@
 /// A random time after which the caller may retry: callers must not all return
 /// at the same time, and must have time left for the call itself.
 Duration GatewayCall::jitteredRetryAfter(Duration least) {
-  const Duration waitLimit = Call.WaitLimit.value_or(UsualPatience);
+  const Duration waitLimit = Call.WaitLimit.value_or(DefaultWaitLimit);
   const Duration left = ReceivedAt + waitLimit - bootNow();
   const Duration most = std::max<Duration>(
-      Duration::zero(), fromSeconds(toSeconds(left) * RetryPart));
-  const Duration spread = fromSeconds(toSeconds(least) * (1 + State.draw()));
+      Duration::zero(), fromSeconds(toSeconds(left) * MaxRetryAfterShare));
+  const Duration spread =
+      fromSeconds(toSeconds(least) * (1 + State.randomFraction()));
   return std::min(most, spread);
 }
 
@@ -573,7 +582,7 @@
                          std::optional<Duration> retryAfter) {
   IsDone = true;
   Timer.cancel();
-  if (HasUnits && (status == Unavailable || status == TooManyRequests))
+  if (HasChargedUnits && (status == Unavailable || status == TooManyRequests))
     State.RateLimiters[Team->Name].giveBack(Units);
   log("refused", status, cause);
   Exchange->respond(status, State.Hooks.LocalResponseHeaders(Call, retryAfter),
@@ -586,8 +595,10 @@
   State.Counts.countCall(route, *cause == 0 ? outcome : cause);
   if (FirstByteAt != Instant{})
     State.Counts.observeFirstToken(route, FirstByteAt - ReceivedAt);
-  if (FirstByteAt != Instant{} && Now.Expected.FirstToken > Duration::zero())
-    State.Counts.observeExpectedFirstToken(route, Now.Expected.FirstToken);
+  if (FirstByteAt != Instant{} &&
+      CurrentSend.Expected.FirstToken > Duration::zero())
+    State.Counts.observeExpectedFirstToken(route,
+                                           CurrentSend.Expected.FirstToken);
   const bool isGood = status / 100 == 2 && *cause == 0;
   LogRateLimiter &budget =
       isGood ? State.SuccessLogBudget : State.FailureLogBudget;
@@ -607,16 +618,16 @@
     line.field("level", State.RateLimiters[Team->Name].level())
         .field("rate", Team->Rate)
         .field("burst", Team->Burst);
-  if (Life)
-    line.field("sends", static_cast<std::int64_t>(Life->sends()));
-  if (!Now.Replica.empty())
-    line.field("upstream", Now.Replica.text());
-  if (Now.Expected.FirstToken > Duration::zero())
-    line.field("expected_wait_ms", toMilliseconds(Now.Expected.Wait))
+  if (RetryState)
+    line.field("sends", static_cast<std::int64_t>(RetryState->sends()));
+  if (!CurrentSend.Replica.empty())
+    line.field("upstream", CurrentSend.Replica.text());
+  if (CurrentSend.Expected.FirstToken > Duration::zero())
+    line.field("expected_wait_ms", toMilliseconds(CurrentSend.Expected.Wait))
         .field("expected_first_byte_ms",
-               toMilliseconds(Now.Expected.FirstToken))
-        .field("tokens_to_read", Now.Expected.TokensToPrefill)
-        .field("tokens_ahead", Now.Expected.Ahead);
+               toMilliseconds(CurrentSend.Expected.FirstToken))
+        .field("tokens_to_read", CurrentSend.Expected.TokensToPrefill)
+        .field("tokens_ahead", CurrentSend.Expected.Ahead);
   if (FirstByteAt != Instant{})
     line.field("first_byte_ms", toMilliseconds(FirstByteAt - ReceivedAt));
   if (Plan)
--- a/Services/sorrelbayd/GatewayCall.h
+++ b/Services/sorrelbayd/GatewayCall.h
@@ -47,8 +47,8 @@
   bool chargeUnits();
   bool admit();
   void trySend();
-  bool mayRepeat();
-  HttpCallHooks hooksFor();
+  bool takeRetryFromBudget();
+  HttpCallHooks upstreamHooks();
   void onHead(const HttpReplyHead &head);
   void onBody(std::string_view bytes);
   void onEnd();
@@ -63,10 +63,10 @@
   void noteFirstByte();
   bool hasConnectionCapacity(const std::string &address) const;
   bool resume();
-  void cut(const char *cause);
+  void abortResponse(const char *cause);
   void retryOrFinish(const char *cause);
   void beginResponse();
-  void passOn(std::string_view bytes);
+  void relayStream(std::string_view bytes);
   void finishResponse();
   void noteCallStarted();
   /// Ends the call without an upstream's response: with an error response or,
@@ -76,7 +76,7 @@
               std::optional<Duration> retryAfter);
   Duration jitteredRetryAfter(Duration least);
   void log(const char *outcome, int status, const char *cause);
-  bool isSuccess() const { return Now.Head.Status / 100 == 2; }
+  bool isSuccess() const { return CurrentSend.Head.Status / 100 == 2; }
 
   GatewayState &State;
   std::shared_ptr<HttpExchange> Exchange;
@@ -86,14 +86,14 @@
   const ServingRoute *Route = nullptr;
   const ServingTeam *Team = nullptr;
   ServiceId Service;
-  std::optional<CallRetryState> Life;
+  std::optional<CallRetryState> RetryState;
   CallCost Work;
   std::int64_t Units = 0;
-  bool HasUnits = false;
+  bool HasChargedUnits = false;
   std::vector<UpstreamId> Tried;
-  int NotSent = 0;
+  int FailedConnects = 0;
   std::shared_ptr<HttpCallHandle> Handle;
-  Send Now;
+  Send CurrentSend;
   bool IsOpen = false;
   bool HasBegun = false;
   bool IsCounted = false;
--- a/Services/sorrelbayd/GatewayFleet.cpp
+++ b/Services/sorrelbayd/GatewayFleet.cpp
@@ -11,23 +11,23 @@
 namespace {
 
 /// Shortest time between two reports, whatever triggers them.
-constexpr Duration ShortestPublishGap = milliseconds(20);
+constexpr Duration MinPublishInterval = milliseconds(20);
 /// Intervals at which the store is queried for peers: short and increasing
 /// after the start, when all hosts may have started together, then long.
-constexpr Duration FirstSearches = milliseconds(500);
-constexpr Duration LaterSearches = seconds(10);
+constexpr Duration FirstLookupInterval = milliseconds(500);
+constexpr Duration LookupInterval = seconds(10);
 /// In a large fleet, a host that does not aggregate learns of others from the
 /// peers of its group and from its aggregator; a new host announces itself to
 /// the peers of its group.
-constexpr Duration RareSearches = seconds(60);
-constexpr int FirstSearchCount = 3;
+constexpr Duration RareLookupInterval = seconds(60);
+constexpr int FirstLookupCount = 3;
 /// Interval of the reports that list all members and carry slowly changing
 /// data.
-constexpr Duration WholeInterval = seconds(1);
+constexpr Duration FullReportInterval = seconds(1);
 /// Most bytes of relayed changes in one message. Larger sets are split, since
 /// one message would delay the reports behind it; a single object that is
 /// larger is fetched by each host.
-constexpr std::size_t MostPassedOn = 48UL * 1024;
+constexpr std::size_t MaxRelayedBytes = 48UL * 1024;
 
 void logSource(const FleetReport &report, bool counts) {
   LogLine(Severity::Info, counts ? "peer heard" : "peer no longer counted")
@@ -49,14 +49,14 @@
   return std::any_of(changes.Changes.begin(), changes.Changes.end(),
                      [](const ResourceChange &it) {
                        return it.Object.Body.size() + it.Object.Status.size() >
-                              MostPassedOn;
+                              MaxRelayedBytes;
                      });
 }
 
 } // namespace
 
 GatewayFleet::GatewayFleet(GatewayState &state, GatewayFleetHooks hooks)
-    : State(state), Hooks(std::move(hooks)), SearchTimer(state.Loop),
+    : State(state), Hooks(std::move(hooks)), LookupTimer(state.Loop),
       ProcessStartedAt(bootNow()),
       ReportMerger(state.Fleet,
                    {state.Replicas, state.Demand, state.RateLimiters,
@@ -65,15 +65,15 @@
 
 void GatewayFleet::listen() {
   FleetLink::Hooks hooks;
-  hooks.OnReport = [this](const FleetReport &report) { heard(report); };
-  hooks.OnRelayedChanges = [this](const RelayedChanges &news) {
-    Hooks.OnRelayedChanges(news);
+  hooks.OnReport = [this](const FleetReport &report) { applyReport(report); };
+  hooks.OnRelayedChanges = [this](const RelayedChanges &relayed) {
+    Hooks.OnRelayedChanges(relayed);
   };
   Link =
       std::make_unique<FleetLink>(State.Loop, State.Settings.PeerListen, hooks);
 }
 
-void GatewayFleet::start() { findPeers(); }
+void GatewayFleet::start() { lookUpPeers(); }
 
 FleetMember GatewayFleet::self() const {
   FleetMember self = Hooks.Self();
@@ -160,13 +160,13 @@
 void GatewayFleet::publishAggregates(const FleetReport &own, Instant now) {
   FleetReport zone = State.Fleet.zoneReport(own, now);
   FleetReport others = State.Fleet.othersReport(own, now);
-  const bool isWhole = now - MembersSentAt >= WholeInterval ||
-                       Named[zone.Scope] != zone.Members ||
-                       Named[others.Scope] != others.Members;
-  if (isWhole) {
+  const bool isFullReport = now - MembersSentAt >= FullReportInterval ||
+                            SentMembers[zone.Scope] != zone.Members ||
+                            SentMembers[others.Scope] != others.Members;
+  if (isFullReport) {
     MembersSentAt = now;
-    Named[zone.Scope] = zone.Members;
-    Named[others.Scope] = others.Members;
+    SentMembers[zone.Scope] = zone.Members;
+    SentMembers[others.Scope] = others.Members;
   }
   for (FleetReport *it : {&zone, &others}) {
     // A host that receives only sums would otherwise follow a single host's
@@ -174,7 +174,7 @@
     it->FleetTimeMs = toEpochMilliseconds(State.Time.at(now));
     it->Usage.clear();
     it->Moves.clear();
-    if (!isWhole) {
+    if (!isFullReport) {
       it->Members.clear();
       continue;
     }
@@ -194,13 +194,13 @@
   Link->send(State.Fleet.groupPeers(), encodeFleetMessage(ownZone));
 }
 
-void GatewayFleet::publishSoon() {
+void GatewayFleet::publishPromptly() {
   const Instant now = bootNow();
-  if (now - PublishedAt >= ShortestPublishGap)
+  if (now - PublishedAt >= MinPublishInterval)
     publish(now);
 }
 
-void GatewayFleet::heard(const FleetReport &report) {
+void GatewayFleet::applyReport(const FleetReport &report) {
   const Instant now = bootNow();
   if (!State.Fleet.receive(report, now))
     return;
@@ -209,25 +209,25 @@
   ReportMerger.take(report, self(), now);
 }
 
-void GatewayFleet::passOn(ResourceKind kind, std::uint64_t from,
-                          const ResourceChanges &changes, Instant begun) {
+void GatewayFleet::relayChanges(ResourceKind kind, std::uint64_t from,
+                                const ResourceChanges &changes, Instant begun) {
   const Instant now = bootNow();
   if (!aggregates(now))
     return;
-  RelayedChanges news;
-  news.Kind = kind;
-  news.From = from;
-  news.Changes.AtRevision = changes.AtRevision;
-  news.IsTruncated = hasLargeObject(changes);
-  if (!news.IsTruncated)
-    news.Changes.Changes = changes.Changes;
-  news.Age = now - begun;
+  RelayedChanges relayed;
+  relayed.Kind = kind;
+  relayed.From = from;
+  relayed.Changes.AtRevision = changes.AtRevision;
+  relayed.IsTruncated = hasLargeObject(changes);
+  if (!relayed.IsTruncated)
+    relayed.Changes.Changes = changes.Changes;
+  relayed.Age = now - begun;
   std::vector<HostId> peers = State.Fleet.groupPeers();
   if (State.Fleet.isAggregatedByZone() && leads(now)) {
     const auto others = State.Fleet.otherAggregators(now);
     peers.insert(peers.end(), others.begin(), others.end());
   }
-  std::vector<RelayedChanges> parts = splitIntoParts(news, MostPassedOn);
+  std::vector<RelayedChanges> parts = splitIntoParts(relayed, MaxRelayedBytes);
   RelayedChanges last = std::move(parts.back());
   parts.pop_back();
   for (const RelayedChanges &it : parts)
@@ -306,7 +306,7 @@
   return out;
 }
 
-void GatewayFleet::findPeers() {
+void GatewayFleet::lookUpPeers() {
   if (State.isStopping())
     return;
   State.Hooks.Store.List(ResourceKind::Hosts,
@@ -323,15 +323,17 @@
                            registerIfMissing(members);
                          });
   const Instant now = bootNow();
-  const bool hearsOthers = State.Fleet.isAggregatedByZone() && !aggregates(now);
-  const Duration later = hearsOthers ? RareSearches : LaterSearches;
+  const bool usesRelayedReports =
+      State.Fleet.isAggregatedByZone() && !aggregates(now);
+  const Duration later =
+      usesRelayedReports ? RareLookupInterval : LookupInterval;
   const bool isFirst =
-      ++PeerLookups <= FirstSearchCount && !State.Fleet.hasRecentZoneSum(now);
-  SearchTimer.expires_after(isFirst ? FirstSearches * (2 * PeerLookups - 1)
-                                    : later);
-  SearchTimer.async_wait([this](boost::system::error_code ec) {
+      ++PeerLookups <= FirstLookupCount && !State.Fleet.hasRecentZoneSum(now);
+  LookupTimer.expires_after(
+      isFirst ? FirstLookupInterval * (2 * PeerLookups - 1) : later);
+  LookupTimer.async_wait([this](boost::system::error_code ec) {
     if (!ec)
-      findPeers();
+      lookUpPeers();
   });
 }
 
--- a/Services/sorrelbayd/GatewayFleet.h
+++ b/Services/sorrelbayd/GatewayFleet.h
@@ -42,12 +42,12 @@
   void tick(Instant now);
   void publish(Instant now);
   /// Publishes a report now, unless the last one is only milliseconds old.
-  void publishSoon();
+  void publishPromptly();
   /// Relays the changes that a store watch returned to the hosts this host
   /// aggregates for; does nothing if there are none. `begun` is the start of
   /// the store call.
-  void passOn(ResourceKind kind, std::uint64_t from,
-              const ResourceChanges &changes, Instant begun);
+  void relayChanges(ResourceKind kind, std::uint64_t from,
+                    const ResourceChanges &changes, Instant begun);
   /// Whether this host aggregates reports for its group of hosts.
   bool aggregates(Instant now) const {
     return State.Fleet.aggregates(self(), now);
@@ -58,26 +58,26 @@
   std::string address() const { return Link->address(); }
 
 private:
-  void heard(const FleetReport &report);
+  void applyReport(const FleetReport &report);
   FleetReport ownReport(Instant now) const;
   void sendOwnReport(const FleetReport &own, Instant now);
   void publishAggregates(const FleetReport &own, Instant now);
   void updateLinks(Instant now);
   void registerIfMissing(const std::vector<FleetMember> &members);
   void registerHost();
-  void findPeers();
+  void lookUpPeers();
 
   GatewayState &State;
   GatewayFleetHooks Hooks;
   std::unique_ptr<FleetLink> Link;
-  boost::asio::steady_timer SearchTimer;
+  boost::asio::steady_timer LookupTimer;
   Instant ProcessStartedAt;
   FleetReportMerger ReportMerger;
   std::uint64_t Sequence = 0;
   Instant PublishedAt{};
   /// When a report last listed all members, and which ones it listed.
   Instant MembersSentAt{};
-  std::map<ReportScope, std::vector<FleetMember>> Named;
+  std::map<ReportScope, std::vector<FleetMember>> SentMembers;
   /// Each peer's boot clock in its last report, in microseconds. It is sent
   /// back with relayed changes.
   std::map<HostId, std::int64_t> PeerClocks;
--- a/Services/sorrelbayd/GatewayRollouts.cpp
+++ b/Services/sorrelbayd/GatewayRollouts.cpp
@@ -11,13 +11,14 @@
 /// deadline.
 static constexpr Duration CompletionMargin = milliseconds(1200);
 /// Shortest time between two attempts to write a status.
-static constexpr Duration WritePause = milliseconds(500);
+static constexpr Duration MinStatusInterval = milliseconds(500);
 /// Peers' knowledge counts as up to date if a report arrived this recently.
-static constexpr Duration HeardLately = milliseconds(800);
+static constexpr Duration RecentReportAge = milliseconds(800);
 
 /// The name of a version among all services, since two services may use the
 /// same version name.
-static VersionId fullName(const ServiceId &service, const VersionId &version) {
+static VersionId qualifiedName(const ServiceId &service,
+                               const VersionId &version) {
   return VersionId(service.text() + "/" + version.text());
 }
 
@@ -25,16 +26,16 @@
     : State(state),
       Duties(duties), Self{state.Settings.Host, state.Incarnation} {}
 
-void GatewayRollouts::take(const Resource &object) {
+void GatewayRollouts::applyOrder(const Resource &object) {
   try {
     const RolloutOrder order = State.Hooks.ReadRollout(object);
-    Move &move = Moves[object.Name];
-    const bool isNew = move.Order.Target != order.Target ||
-                       move.Order.Service != order.Service;
+    ServiceRollout &serviceRollout = RolloutsByName[object.Name];
+    const bool isNew = serviceRollout.Order.Target != order.Target ||
+                       serviceRollout.Order.Service != order.Service;
     if (isNew)
-      move = {};
-    move.Order = order;
-    move.Object = object;
+      serviceRollout = {};
+    serviceRollout.Order = order;
+    serviceRollout.Object = object;
     LogLine(Severity::Info, "move ordered")
         .field("service", order.Service.text())
         .field("version", order.Target.text())
@@ -43,9 +44,9 @@
         .field("revision", static_cast<std::int64_t>(object.Revision));
     if (isNew && order.Outcome != RolloutOutcome::Completed &&
         order.Outcome != RolloutOutcome::RolledBack)
-      move.Deadline = State.Time.at(bootNow()) + order.Within;
+      serviceRollout.Deadline = State.Time.at(bootNow()) + order.Within;
     if (isNew)
-      findOldVersion(move);
+      findOldVersion(serviceRollout);
   } catch (const Error &error) {
     LogLine(Severity::Warning, "rollout order refused")
         .field("object", object.Name)
@@ -54,53 +55,57 @@
   }
 }
 
-void GatewayRollouts::remove(const std::string &name) { Moves.erase(name); }
+void GatewayRollouts::remove(const std::string &name) {
+  RolloutsByName.erase(name);
+}
 
 /// Sets the old version to the one that most of the service's other replicas
 /// have.
-void GatewayRollouts::findOldVersion(Move &move) const {
+void GatewayRollouts::findOldVersion(ServiceRollout &serviceRollout) const {
   std::map<VersionId, int> counts;
   for (const ReplicaRecord &it : State.Replicas.records())
-    if (it.OfService == move.Order.Service && !it.IsLeaving &&
-        it.OfVersion != move.Order.Target)
+    if (it.OfService == serviceRollout.Order.Service && !it.IsLeaving &&
+        it.OfVersion != serviceRollout.Order.Target)
       ++counts[it.OfVersion];
   if (counts.empty())
     return;
-  move.Old = std::max_element(counts.begin(), counts.end(),
-                              [](const auto &a, const auto &b) {
-                                return a.second < b.second;
-                              })
-                 ->first;
+  serviceRollout.OldReplicaVersion =
+      std::max_element(
+          counts.begin(), counts.end(),
+          [](const auto &a, const auto &b) { return a.second < b.second; })
+          ->first;
 }
 
-void GatewayRollouts::begin(Move &move, Instant fleetNow) {
-  findOldVersion(move);
-  if (move.Old.empty())
+void GatewayRollouts::begin(ServiceRollout &serviceRollout, Instant fleetNow) {
+  findOldVersion(serviceRollout);
+  if (serviceRollout.OldReplicaVersion.empty())
     return;
   int replicas = 0;
   for (const ReplicaRecord &it : State.Replicas.records())
-    if (it.OfService == move.Order.Service && !it.IsLeaving &&
-        it.OfVersion == move.Order.Target)
+    if (it.OfService == serviceRollout.Order.Service && !it.IsLeaving &&
+        it.OfVersion == serviceRollout.Order.Target)
       ++replicas;
   // The rollout begins once the new version has replicas.
   if (replicas == 0)
     return;
   RolloutPlan plan;
-  plan.New = fullName(move.Order.Service, move.Order.Target);
-  plan.Old = fullName(move.Order.Service, move.Old);
-  plan.Deadline = move.Deadline;
+  plan.New =
+      qualifiedName(serviceRollout.Order.Service, serviceRollout.Order.Target);
+  plan.Old = qualifiedName(serviceRollout.Order.Service,
+                           serviceRollout.OldReplicaVersion);
+  plan.Deadline = serviceRollout.Deadline;
   plan.ReplicaShare = 1.0 / std::max(1, replicas);
   for (const ServingRoute &it : State.Plan->plan().Routes) {
     const bool isServed =
         std::any_of(it.ServiceWeights.begin(), it.ServiceWeights.end(),
                     [&](const WeightedService &part) {
-                      return part.Name == move.Order.Service;
+                      return part.Name == serviceRollout.Order.Service;
                     });
     if (!isServed)
       continue;
     Route route;
     route.Id = it.Name;
-    route.Service = move.Order.Service;
+    route.Service = serviceRollout.Order.Service;
     // All routes are rolled out together: an order allows only seconds, and
     // routes that must not be retried would wait for evidence from the calls of
     // other routes, which may never come.
@@ -108,12 +113,12 @@
     route.LatencyTarget = it.LatencyTarget;
     plan.Routes.push_back(route);
   }
-  move.Run.emplace(plan, State.Settings.Host);
+  serviceRollout.Run.emplace(plan, State.Settings.Host);
   LogLine(Severity::Info, "move begun")
-      .field("service", move.Order.Service.text())
-      .field("from", move.Old.text())
-      .field("to", move.Order.Target.text())
-      .field("left_ms", toMilliseconds(move.Deadline - fleetNow));
+      .field("service", serviceRollout.Order.Service.text())
+      .field("from", serviceRollout.OldReplicaVersion.text())
+      .field("to", serviceRollout.Order.Target.text())
+      .field("left_ms", toMilliseconds(serviceRollout.Deadline - fleetNow));
 }
 
 static bool isOver(RolloutOutcome outcome) {
@@ -122,55 +127,58 @@
 }
 
 void GatewayRollouts::tick(Instant now) {
-  if (!State.Plan || Moves.empty())
+  if (!State.Plan || RolloutsByName.empty())
     return;
   const Instant fleetNow = State.Time.at(now);
-  const bool hearsPeers = State.Fleet.members().empty() ||
-                          State.Fleet.hasRecentContact(HeardLately, now);
-  const bool hearsAll = State.Fleet.collects(State.Self(), now);
-  for (auto &[name, move] : Moves) {
-    if (isOver(move.Order.Outcome))
+  const bool hasRecentReports =
+      State.Fleet.members().empty() ||
+      State.Fleet.hasRecentContact(RecentReportAge, now);
+  const bool mayDecide = State.Fleet.collects(State.Self(), now);
+  for (auto &[name, serviceRollout] : RolloutsByName) {
+    if (isOver(serviceRollout.Order.Outcome))
       continue;
-    if (!move.Run)
-      begin(move, fleetNow);
-    if (!move.Run)
+    if (!serviceRollout.Run)
+      begin(serviceRollout, fleetNow);
+    if (!serviceRollout.Run)
       continue;
-    if (hearsPeers)
-      move.Run->refreshed(fleetNow);
-    const RolloutStatus before = move.Run->status();
-    if (hearsAll)
-      move.Run->update(Known, fleetNow);
+    if (hasRecentReports)
+      serviceRollout.Run->refreshed(fleetNow);
+    const RolloutStatus before = serviceRollout.Run->status();
+    if (mayDecide)
+      serviceRollout.Run->update(MergedKnowledge, fleetNow);
     else
-      move.Run->follow(Known, fleetNow);
-    const RolloutStatus after = move.Run->status();
+      serviceRollout.Run->follow(MergedKnowledge, fleetNow);
+    const RolloutStatus after = serviceRollout.Run->status();
     if (before.State != after.State || before.Stage != after.Stage)
       LogLine(Severity::Info, "move step")
-          .field("service", move.Order.Service.text())
+          .field("service", serviceRollout.Order.Service.text())
           .field("state", toText(after.State))
           .field("stage", static_cast<std::int64_t>(after.Stage))
           .field("share", after.Share.Repeatable)
           .field("reason", after.Reason ? toText(after.Reason->Reason) : "");
     if (Duties.isHeld(now))
-      writeStatus(move, now);
+      writeStatus(serviceRollout, now);
   }
 }
 
-int GatewayRollouts::openCallsAtOldVersion(const Move &move) const {
+int GatewayRollouts::openCallsAtOldVersion(
+    const ServiceRollout &serviceRollout) const {
   int open = 0;
   for (const ReplicaRecord &it : State.Replicas.records())
-    if (it.OfService == move.Order.Service && it.OfVersion == move.Old)
+    if (it.OfService == serviceRollout.Order.Service &&
+        it.OfVersion == serviceRollout.OldReplicaVersion)
       open += State.Replicas.workAt(it.Id).Calls;
   return open;
 }
 
-RolloutOutcome GatewayRollouts::outcomeOf(const Move &move,
+RolloutOutcome GatewayRollouts::outcomeOf(const ServiceRollout &serviceRollout,
                                           Instant fleetNow) const {
-  switch (move.Run->state()) {
+  switch (serviceRollout.Run->state()) {
   case RolloutState::TakenBack:
     return RolloutOutcome::RolledBack;
   case RolloutState::Done:
-    return openCallsAtOldVersion(move) == 0 ||
-                   fleetNow > move.Deadline - CompletionMargin
+    return openCallsAtOldVersion(serviceRollout) == 0 ||
+                   fleetNow > serviceRollout.Deadline - CompletionMargin
                ? RolloutOutcome::Completed
                : RolloutOutcome::InProgress;
   case RolloutState::Moving:
@@ -179,15 +187,15 @@
   return RolloutOutcome::InProgress;
 }
 
-void GatewayRollouts::writeStatus(Move &move, Instant now) {
-  const RolloutOutcome outcome = outcomeOf(move, State.Time.at(now));
-  if (outcome == move.Order.Outcome || IsWriting ||
-      now - move.WrittenAt < WritePause)
+void GatewayRollouts::writeStatus(ServiceRollout &serviceRollout, Instant now) {
+  const RolloutOutcome outcome = outcomeOf(serviceRollout, State.Time.at(now));
+  if (outcome == serviceRollout.Order.Outcome || IsWriting ||
+      now - serviceRollout.WrittenAt < MinStatusInterval)
     return;
-  move.WrittenAt = now;
+  serviceRollout.WrittenAt = now;
   IsWriting = true;
-  Resource object = move.Object;
-  object.Status = State.Hooks.RolloutStatusBody(move.Order, outcome);
+  Resource object = serviceRollout.Object;
+  object.Status = State.Hooks.RolloutStatusBody(serviceRollout.Order, outcome);
   State.Hooks.Store.ReplaceStatus(
       ResourceKind::Moves, object,
       [this, name = object.Name, outcome](const StoreResult<Resource> &result) {
@@ -202,20 +210,23 @@
 VersionPreference GatewayRollouts::versionFor(const ServiceId &service,
                                               const std::string &callId,
                                               Instant now) const {
-  for (const auto &[name, move] : Moves) {
-    if (move.Order.Service != service)
+  for (const auto &[name, serviceRollout] : RolloutsByName) {
+    if (serviceRollout.Order.Service != service)
       continue;
-    if (move.Order.Outcome == RolloutOutcome::Completed)
-      return {move.Order.Target, VersionId()};
-    const bool isBack =
-        move.Order.Outcome == RolloutOutcome::RolledBack ||
-        (move.Run && move.Run->state() == RolloutState::TakenBack);
-    if (isBack || !move.Run)
-      return {move.Old, move.Order.Target};
-    const VersionId chosen =
-        chooseVersion(move.Run->shares(), callId, true, State.Time.at(now));
-    const bool isNew = chosen == move.Run->plan().New;
-    return {isNew ? move.Order.Target : move.Old, VersionId()};
+    if (serviceRollout.Order.Outcome == RolloutOutcome::Completed)
+      return {serviceRollout.Order.Target, VersionId()};
+    const bool mustUseOld =
+        serviceRollout.Order.Outcome == RolloutOutcome::RolledBack ||
+        (serviceRollout.Run &&
+         serviceRollout.Run->state() == RolloutState::TakenBack);
+    if (mustUseOld || !serviceRollout.Run)
+      return {serviceRollout.OldReplicaVersion, serviceRollout.Order.Target};
+    const VersionId chosen = chooseVersion(serviceRollout.Run->shares(), callId,
+                                           true, State.Time.at(now));
+    const bool isNew = chosen == serviceRollout.Run->plan().New;
+    return {isNew ? serviceRollout.Order.Target
+                  : serviceRollout.OldReplicaVersion,
+            VersionId()};
   }
   return {};
 }
@@ -223,45 +234,48 @@
 void GatewayRollouts::record(const ServiceId &service, const VersionId &version,
                              const RouteId &route, UpstreamOutcome outcome) {
   if (isRollingOut(service))
-    Known.Evidence.record(Self, {fullName(service, version), route}, outcome);
+    MergedKnowledge.Evidence.record(
+        Self, {qualifiedName(service, version), route}, outcome);
 }
 
 bool GatewayRollouts::isRollingOut(const ServiceId &service) const {
-  return std::any_of(Moves.begin(), Moves.end(), [&](const auto &it) {
-    return it.second.Order.Service == service &&
-           !isOver(it.second.Order.Outcome);
-  });
+  return std::any_of(RolloutsByName.begin(), RolloutsByName.end(),
+                     [&](const auto &it) {
+                       return it.second.Order.Service == service &&
+                              !isOver(it.second.Order.Outcome);
+                     });
 }
 
-std::string GatewayRollouts::news(ReportScope scope) const {
-  const bool hasMove =
-      std::any_of(Moves.begin(), Moves.end(), [](const auto &it) {
-        return !isOver(it.second.Order.Outcome);
-      });
-  if (!hasMove)
+std::string GatewayRollouts::encodedKnowledge(ReportScope scope) const {
+  const bool hasOpenRollout = std::any_of(
+      RolloutsByName.begin(), RolloutsByName.end(),
+      [](const auto &it) { return !isOver(it.second.Order.Outcome); });
+  if (!hasOpenRollout)
     return "";
   switch (scope) {
   case ReportScope::Host:
-    return encodeRolloutKnowledge(ownPart(Known, Self));
+    return encodeRolloutKnowledge(ownPart(MergedKnowledge, Self));
   case ReportScope::Zone:
-    return encodeRolloutKnowledge(partOf(Known, [&](const EvidenceSource &it) {
-      return State.Fleet.isOfOwnZone(it.Host);
-    }));
+    return encodeRolloutKnowledge(
+        partOf(MergedKnowledge, [&](const EvidenceSource &it) {
+          return State.Fleet.isOfOwnZone(it.Host);
+        }));
   case ReportScope::OtherZones:
-    return encodeRolloutKnowledge(Known);
+    return encodeRolloutKnowledge(MergedKnowledge);
   case ReportScope::OwnZone:
     break;
   }
   // Hosts that do not decide need no evidence.
   return encodeRolloutKnowledge(
-      partOf(Known, [](const EvidenceSource &) { return false; }));
+      partOf(MergedKnowledge, [](const EvidenceSource &) { return false; }));
 }
 
-void GatewayRollouts::receive(const std::string &news, Instant /*now*/) {
-  if (news.empty())
+void GatewayRollouts::mergePeerKnowledge(const std::string &encoded,
+                                         Instant /*now*/) {
+  if (encoded.empty())
     return;
   try {
-    merge(Known, decodeRolloutKnowledge(news));
+    merge(MergedKnowledge, decodeRolloutKnowledge(encoded));
   } catch (const RolloutKnowledgeMalformed &error) {
     LogLine(Severity::Warning, "malformed rollout knowledge of a peer ignored")
         .field("why", error.what());
--- a/Services/sorrelbayd/GatewayRollouts.h
+++ b/Services/sorrelbayd/GatewayRollouts.h
@@ -21,7 +21,7 @@
   GatewayRollouts(GatewayState &state, const DutyLease &duties);
 
   /// Handles a new or changed order.
-  void take(const Resource &object);
+  void applyOrder(const Resource &object);
   void remove(const std::string &name);
   /// Performs the periodic work; call it several times a second.
   void tick(Instant now);
@@ -35,31 +35,32 @@
 
   /// Encoded rollout knowledge of the hosts that the scope covers; empty if no
   /// rollout is under way.
-  std::string news(ReportScope scope) const;
+  std::string encodedKnowledge(ReportScope scope) const;
   /// Merges a peer's encoded knowledge; logs and ignores it if malformed.
-  void receive(const std::string &news, Instant now);
+  void mergePeerKnowledge(const std::string &encoded, Instant now);
 
 private:
-  struct Move {
+  struct ServiceRollout {
     RolloutOrder Order;
     Resource Object;
     std::optional<Rollout> Run;
-    VersionId Old;
+    VersionId OldReplicaVersion;
     Instant Deadline{};
     Instant WrittenAt{};
   };
 
-  void findOldVersion(Move &move) const;
-  void begin(Move &move, Instant fleetNow);
-  void writeStatus(Move &move, Instant now);
-  RolloutOutcome outcomeOf(const Move &move, Instant fleetNow) const;
-  int openCallsAtOldVersion(const Move &move) const;
+  void findOldVersion(ServiceRollout &serviceRollout) const;
+  void begin(ServiceRollout &serviceRollout, Instant fleetNow);
+  void writeStatus(ServiceRollout &serviceRollout, Instant now);
+  RolloutOutcome outcomeOf(const ServiceRollout &serviceRollout,
+                           Instant fleetNow) const;
+  int openCallsAtOldVersion(const ServiceRollout &serviceRollout) const;
 
   GatewayState &State;
   const DutyLease &Duties;
   EvidenceSource Self;
-  std::map<std::string, Move> Moves;
-  RolloutKnowledge Known;
+  std::map<std::string, ServiceRollout> RolloutsByName;
+  RolloutKnowledge MergedKnowledge;
   bool IsWriting = false;
 };
 
--- a/Services/sorrelbayd/GatewaySettings.cpp
+++ b/Services/sorrelbayd/GatewaySettings.cpp
@@ -5,9 +5,9 @@
 namespace sorrelbay {
 
 static constexpr double MsPerSecond = 1000;
-static constexpr double MostMs = 24 * 3600 * MsPerSecond;
-static constexpr double LeastSeconds = 0.1;
-static constexpr double MostCount = std::numeric_limits<int>::max();
+static constexpr double MaxMilliseconds = 24 * 3600 * MsPerSecond;
+static constexpr double MinSeconds = 0.1;
+static constexpr double MaxCount = std::numeric_limits<int>::max();
 
 /// A required "ip:port"; a fault is added if a part is missing.
 static std::string addressAt(TomlReader &from, const char *key) {
@@ -27,26 +27,28 @@
   return from.number(key, least, least, most);
 }
 
-static Duration spanAt(TomlReader &from, const char *key, double least) {
-  return fromSeconds(numberAt(from, key, least, MostMs) / MsPerSecond);
+static Duration millisecondsAt(TomlReader &from, const char *key,
+                               double least) {
+  return fromSeconds(numberAt(from, key, least, MaxMilliseconds) / MsPerSecond);
 }
 
 static Duration secondsAt(TomlReader &from, const char *key) {
-  return fromSeconds(numberAt(from, key, LeastSeconds, MostMs / MsPerSecond));
+  return fromSeconds(
+      numberAt(from, key, MinSeconds, MaxMilliseconds / MsPerSecond));
 }
 
 static std::int64_t countAt(TomlReader &from, const char *key) {
-  return static_cast<std::int64_t>(from.number(key, 0, 0, MostCount));
+  return static_cast<std::int64_t>(from.number(key, 0, 0, MaxCount));
 }
 
 static GatewayBounds boundsAt(TomlReader &from) {
   GatewayBounds bounds;
-  bounds.Drain = spanAt(from, "drain_ms", 1);
+  bounds.Drain = millisecondsAt(from, "drain_ms", 1);
   bounds.Grace = secondsAt(from, "grace_s");
-  bounds.PlanInForce = spanAt(from, "plan_in_force_ms", 1);
+  bounds.PlanInForce = millisecondsAt(from, "plan_in_force_ms", 1);
   if (from.has("evacuate_ms"))
-    bounds.Evacuation = spanAt(from, "evacuate_ms", 1);
-  bounds.KeyRemoval = spanAt(from, "key_removal_ms", 1);
+    bounds.Evacuation = millisecondsAt(from, "evacuate_ms", 1);
+  bounds.KeyRemoval = millisecondsAt(from, "key_removal_ms", 1);
   bounds.KeysFailClosed = from.boolean("keys_fail_closed", true);
   bounds.RetryShare = from.number("repeat_share", 0.1, 0, 1);
   bounds.RetryWindow = secondsAt(from, "repeat_window_s");
@@ -54,12 +56,12 @@
   bounds.AllotmentSlack = countAt(from, "allotment_slack");
   if (from.has("allotment_window_s"))
     bounds.AllotmentWindow = secondsAt(from, "allotment_window_s");
-  bounds.Lease = spanAt(from, "lease_ms", 1);
+  bounds.Lease = millisecondsAt(from, "lease_ms", 1);
   bounds.UsageWindow = secondsAt(from, "usage_window_s");
   bounds.UsageDue = secondsAt(from, "usage_due_s");
   bounds.TrialShare = from.number("trial_share", 0.1, 0, 1);
   bounds.TrialSlack = countAt(from, "trial_slack");
-  bounds.TrialEnd = spanAt(from, "trial_end_ms", 1);
+  bounds.TrialEnd = millisecondsAt(from, "trial_end_ms", 1);
   bounds.AddressTimeToLive = secondsAt(from, "address_ttl_s");
   return bounds;
 }
@@ -101,7 +103,7 @@
   settings.DutyCallsPerSecond =
       cloud.number("duty_calls_per_second", 1, 0.001, 1e6);
   TomlReader upstreams = all.table("upstreams");
-  settings.Heartbeat = spanAt(upstreams, "heartbeat_ms", 1);
+  settings.Heartbeat = millisecondsAt(upstreams, "heartbeat_ms", 1);
   TomlReader bounds = all.table("bounds");
   settings.Bounds = boundsAt(bounds);
   all.finish();
--- a/Services/sorrelbayd/GatewayState.cpp
+++ b/Services/sorrelbayd/GatewayState.cpp
@@ -6,11 +6,11 @@
 namespace sorrelbay {
 
 /// Interval of the log lines about calls to the store.
-static constexpr Duration StoreCallsInterval = seconds(10);
+static constexpr Duration StoreCallsLogInterval = seconds(10);
 
 /// The periodic work runs several times a second; a longer gap means that the
 /// process was suspended.
-static constexpr Duration LongestTickGap = seconds(1);
+static constexpr Duration StallThreshold = seconds(1);
 
 /// An id that no other process of any daemon has.
 static IncarnationId newIncarnation(const HostId &host) {
@@ -20,7 +20,8 @@
 }
 
 /// Wraps the hooks so that the state counts each call to the store.
-static GatewayHooks counted(GatewayHooks hooks, GatewayState &state) {
+static GatewayHooks countingStoreCalls(GatewayHooks hooks,
+                                       GatewayState &state) {
   hooks.Store = instrumentedStore(
       hooks.Store, [&state](const char *call, ResourceKind kind,
                             std::optional<StoreFailure> failure) {
@@ -32,7 +33,7 @@
 GatewayState::GatewayState(boost::asio::io_context &loop,
                            GatewaySettings settings, GatewayHooks hooks)
     : Loop(loop), Settings(std::move(settings)),
-      Hooks(counted(std::move(hooks), *this)),
+      Hooks(countingStoreCalls(std::move(hooks), *this)),
       Incarnation(newIncarnation(Settings.Host)),
       Client(loop, {milliseconds(250), seconds(4), 32UL * 1024}),
       Usage(Incarnation, Settings.Zone, Settings.Bounds.UsageWindow),
@@ -48,7 +49,7 @@
 }
 
 void GatewayState::logStoreCalls(Instant now) {
-  if (now - StoreCallsLoggedAt < StoreCallsInterval)
+  if (now - StoreCallsLoggedAt < StoreCallsLogInterval)
     return;
   if (!StoreCalls.empty()) {
     LogLine line(Severity::Info, "store calls");
@@ -66,10 +67,10 @@
 }
 
 bool GatewayState::wasStalled(Instant now) const {
-  return TickedAt != Instant{} && now - TickedAt > LongestTickGap;
+  return TickedAt != Instant{} && now - TickedAt > StallThreshold;
 }
 
-double GatewayState::draw() {
+double GatewayState::randomFraction() {
   return std::uniform_real_distribution<double>(0, 1)(Random);
 }
 
--- a/Services/sorrelbayd/GatewayState.h
+++ b/Services/sorrelbayd/GatewayState.h
@@ -56,7 +56,7 @@
   QueueWaitLimits FirstTokens;
   std::map<TeamId, TeamRateLimiter> RateLimiters;
   UsageCounts Usage;
-  std::map<ServiceId, RetryBudget> Repeats;
+  std::map<ServiceId, RetryBudget> RetryBudgets;
   FleetView Fleet;
   FleetClock Time;
   std::mt19937_64 Random;
@@ -103,7 +103,7 @@
   Instant TickedAt{};
   bool wasStalled(Instant now) const;
   /// A random number in [0, 1), uniformly distributed.
-  double draw();
+  double randomFraction();
 };
 
 } // namespace sorrelbay
--- a/Services/sorrelbayd/ReplicaOrders.cpp
+++ b/Services/sorrelbayd/ReplicaOrders.cpp
@@ -8,22 +8,22 @@
 static constexpr Duration LogInterval = seconds(2);
 /// The interval between two orders, as a multiple of the cloud's shortest
 /// interval between calls.
-static constexpr double PacePart = 2;
+static constexpr double IntervalFactor = 2;
 
 ReplicaOrders::ReplicaOrders(GatewayState &state, const DutyLease &duties)
     : State(state), Duties(duties), SendTimer(state.Loop) {}
 
 void ReplicaOrders::tick(Instant now) {
   if (!Duties.isHeld(now) || !State.Plan) {
-    Waiting.clear();
+    PendingOrders.clear();
     return;
   }
-  if (PlansTerm != Duties.term()) {
+  if (AutoscalersTerm != Duties.term()) {
     // Another holder may have ordered replicas since.
-    Plans.clear();
-    PlansTerm = Duties.term();
+    Autoscalers.clear();
+    AutoscalersTerm = Duties.term();
   }
-  if (Waiting.empty() && !IsSending)
+  if (PendingOrders.empty() && !IsSending)
     plan(now);
   send(now);
 }
@@ -38,13 +38,13 @@
 }
 
 void ReplicaOrders::plan(Instant now) {
-  const bool isLogged = now - LoggedAt > LogInterval;
+  const bool isLogDue = now - LoggedAt > LogInterval;
   for (const ServingService &service : State.Plan->plan().Services) {
     // During a rollout, both versions have replicas on purpose.
     if (!service.Scaling || !service.Engine || State.IsRollingOut(service.Name))
       continue;
-    const auto [it, isNew] =
-        Plans.try_emplace(service.Name, *service.Scaling, *service.Engine);
+    const auto [it, isNew] = Autoscalers.try_emplace(
+        service.Name, *service.Scaling, *service.Engine);
     std::map<ZoneId, ZoneReplicas> seen;
     // After a rollout, the replicas of the other version stay listed for a
     // while but get no calls.
@@ -65,8 +65,8 @@
     const ServiceLoad load = loadOf(service.Name, now);
     for (const ReplicaOrder &order :
          it->second.orders(service.Name, seen, load, now))
-      Waiting.push_back(order);
-    if (!isLogged)
+      PendingOrders.push_back(order);
+    if (!isLogDue)
       continue;
     LoggedAt = now;
     int serving = 0;
@@ -104,17 +104,17 @@
 }
 
 void ReplicaOrders::send(Instant now) {
-  if (IsSending || Waiting.empty())
+  if (IsSending || PendingOrders.empty())
     return;
   // The cloud refuses calls beyond its rate limit, which applies to all duties
   // together.
   const Duration gap =
-      fromSeconds(PacePart / State.Settings.DutyCallsPerSecond);
+      fromSeconds(IntervalFactor / State.Settings.DutyCallsPerSecond);
   if (now - SentAt < gap)
     return scheduleSend(SentAt + gap);
   SentAt = now;
-  const ReplicaOrder order = Waiting.front();
-  Waiting.pop_front();
+  const ReplicaOrder order = PendingOrders.front();
+  PendingOrders.pop_front();
   IsSending = true;
   const std::uint64_t term = Duties.term();
   State.Hooks.Cloud.Order(
@@ -129,8 +129,8 @@
             .field("count", static_cast<std::int64_t>(order.Count))
             .field("result", static_cast<std::int64_t>(result))
             .field("fencing", static_cast<std::int64_t>(term));
-        const auto it = Plans.find(order.Service);
-        if (it != Plans.end())
+        const auto it = Autoscalers.find(order.Service);
+        if (it != Autoscalers.end())
           it->second.noteResult(order, result, now);
         if (term == Duties.term() && Duties.isHeld(now))
           send(now);
--- a/Services/sorrelbayd/ReplicaOrders.h
+++ b/Services/sorrelbayd/ReplicaOrders.h
@@ -27,10 +27,10 @@
 
   GatewayState &State;
   const DutyLease &Duties;
-  std::map<ServiceId, ReplicaAutoscaler> Plans;
+  std::map<ServiceId, ReplicaAutoscaler> Autoscalers;
   /// The lease term in which the autoscalers were created.
-  std::uint64_t PlansTerm = 0;
-  std::deque<ReplicaOrder> Waiting;
+  std::uint64_t AutoscalersTerm = 0;
+  std::deque<ReplicaOrder> PendingOrders;
   boost::asio::steady_timer SendTimer;
   bool IsSending = false;
   Instant SentAt{};
--- a/Services/sorrelbayd/UsageReporter.cpp
+++ b/Services/sorrelbayd/UsageReporter.cpp
@@ -8,23 +8,23 @@
 /// Time after a window's end within which all hosts' counts of it arrive.
 static constexpr Duration SettleTime = milliseconds(1200);
 /// Share of the due time for which a window waits for silent hosts.
-static constexpr double LongestSettle = 0.5;
+static constexpr double MaxSettleShare = 0.5;
 /// A window does not wait if at most this share of all hosts is silent: what
 /// they counted changes the sum too little to matter.
-static constexpr double NegligibleShare = 0.025;
+static constexpr double NegligibleSilentShare = 0.025;
 /// Interval at which the counts known so far of unsettled windows are stored.
-static constexpr Duration KeepInterval = seconds(1);
+static constexpr Duration SaveInterval = seconds(1);
 /// Number of windows kept in the record.
-static constexpr std::size_t MostRecorded = 12;
+static constexpr std::size_t MaxRecordedWindows = 12;
 
 UsageReporter::UsageReporter(GatewayState &state, const DutyLease &duties)
     : State(state), Duties(duties),
-      First(state.Usage.windowAt(state.Time.at(bootNow()))) {}
+      FirstWindow(state.Usage.windowAt(state.Time.at(bootNow()))) {}
 
 void UsageReporter::tick(Instant now) {
   State.Usage.forgetBefore(State.Usage.windowAt(State.Time.at(now)) -
-                           static_cast<WindowNumber>(MostRecorded));
-  if (!Duties.isHeld(now) || IsWaiting)
+                           static_cast<WindowNumber>(MaxRecordedWindows));
+  if (!Duties.isHeld(now) || IsCallPending)
     return;
   if (RecordTerm != Duties.term())
     return read();
@@ -35,14 +35,14 @@
 }
 
 void UsageReporter::read() {
-  IsWaiting = true;
+  IsCallPending = true;
   const std::uint64_t term = Duties.term();
   State.Hooks.Store.Read(ResourceKind::Usage, RecordName,
                          [this, term](const StoreResult<Resource> &result) {
-                           IsWaiting = false;
+                           IsCallPending = false;
                            if (result.Got) {
                              Revision = result.Got->Revision;
-                             take(result.Got->Body);
+                             applyRecord(result.Got->Body);
                            } else if (result.Failure != StoreFailure::Missing) {
                              return;
                            } else {
@@ -59,36 +59,37 @@
 /// the report is not late.
 bool UsageReporter::isSettled(WindowNumber window, Instant now) const {
   const Duration age = State.Time.at(now) - State.Usage.endOf(window);
-  const Duration longest =
-      fromSeconds(toSeconds(State.Settings.Bounds.UsageDue) * LongestSettle);
-  const bool hearsEnough = State.Fleet.silentFraction(now) <= NegligibleShare;
-  return age >= SettleTime && (hearsEnough || age >= longest);
+  const Duration maxSettleTime =
+      fromSeconds(toSeconds(State.Settings.Bounds.UsageDue) * MaxSettleShare);
+  const bool hasEnoughReports =
+      State.Fleet.silentFraction(now) <= NegligibleSilentShare;
+  return age >= SettleTime && (hasEnoughReports || age >= maxSettleTime);
 }
 
 void UsageReporter::settle(Instant now) {
   const WindowNumber next =
-      Settled.empty() ? First : Settled.rbegin()->first + 1;
+      Settled.empty() ? FirstWindow : Settled.rbegin()->first + 1;
   if (isSettled(next, now)) {
     Settled[next].Counts = State.Usage.sum(next);
-    while (Settled.size() > MostRecorded)
+    while (Settled.size() > MaxRecordedWindows)
       Settled.erase(Settled.begin());
-  } else if (now - SavedAt < KeepInterval) {
+  } else if (now - SavedAt < SaveInterval) {
     return;
   }
-  keep(now);
+  saveRecord(now);
 }
 
-void UsageReporter::keep(Instant now) {
+void UsageReporter::saveRecord(Instant now) {
   SavedAt = now;
   const WindowNumber next =
-      Settled.empty() ? First : Settled.rbegin()->first + 1;
+      Settled.empty() ? FirstWindow : Settled.rbegin()->first + 1;
   Resource object;
   object.Name = RecordName;
   object.Revision = Revision;
   object.Body = encodeUsageRecord({Settled, State.Usage.snapshotFrom(next)});
-  IsWaiting = true;
+  IsCallPending = true;
   const auto done = [this](const StoreResult<Resource> &result) {
-    IsWaiting = false;
+    IsCallPending = false;
     if (result.Got) {
       Revision = result.Got->Revision;
       tick(bootNow());
@@ -116,10 +117,10 @@
   if (!next)
     return;
   const WindowNumber window = *next;
-  IsWaiting = true;
+  IsCallPending = true;
   State.Hooks.Cloud.ReportUsage(Duties.stamp(), window, Settled[window].Counts,
                                 [this, window](CloudResult result) {
-                                  IsWaiting = false;
+                                  IsCallPending = false;
                                   LogLine(Severity::Info, "usage reported")
                                       .field("window", window)
                                       .field("result",
@@ -133,7 +134,7 @@
                                 });
 }
 
-void UsageReporter::take(const std::string &text) {
+void UsageReporter::applyRecord(const std::string &text) {
   Settled.clear();
   try {
     const UsageRecord record = decodeUsageRecord(text);
--- a/Services/sorrelbayd/UsageReporter.h
+++ b/Services/sorrelbayd/UsageReporter.h
@@ -25,9 +25,9 @@
   void read();
   bool isSettled(WindowNumber window, Instant now) const;
   void settle(Instant now);
-  void keep(Instant now);
+  void saveRecord(Instant now);
   void report();
-  void take(const std::string &text);
+  void applyRecord(const std::string &text);
 
   GatewayState &State;
   const DutyLease &Duties;
@@ -37,9 +37,9 @@
   /// The lease term in which the stored record was read; empty if it has to be
   /// read again.
   std::optional<std::uint64_t> RecordTerm;
-  WindowNumber First;
+  WindowNumber FirstWindow;
   Instant SavedAt{};
-  bool IsWaiting = false;
+  bool IsCallPending = false;
 };
 
 } // namespace sorrelbay
--- a/Tests/sorrelbayd/TestDutyLease.cpp
+++ b/Tests/sorrelbayd/TestDutyLease.cpp
@@ -96,14 +96,14 @@
   KeeperWorld world;
   BOOST_TEST_REQUIRE(world.waitForDuties());
   FleetMember self;
-  world.Duties.tell(self, bootNow());
+  world.Duties.addLeaseTo(self, bootNow());
   const std::uint64_t taken = self.LeaseRevision;
   for (int n = 0; n < 1000 && self.LeaseRevision == taken; ++n) {
     world.Duties.tick(bootNow());
     world.Loop.restart();
     world.Loop.run_for(milliseconds(5));
     std::this_thread::sleep_for(milliseconds(2));
-    world.Duties.tell(self, bootNow());
+    world.Duties.addLeaseTo(self, bootNow());
   }
   BOOST_TEST(self.LeaseRevision > taken);
   BOOST_TEST(self.FencingToken == world.Duties.term());
