--- a/Tests/sorrelbayd/GatewayFixture.cpp
+++ b/Tests/sorrelbayd/GatewayFixture.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// How often an idle watch looks for changes.
-constexpr Duration WatchStep = milliseconds(10);
-constexpr int MostTries = 400;
-/// That the desk takes.
+/// Interval at which an idle watch checks for changes.
+constexpr Duration WatchPollInterval = milliseconds(10);
+constexpr int MaxPollAttempts = 400;
+/// Number of connections that the service "desk" accepts.
 constexpr int MaxConnections = 4;
 
 template <typename Value>
@@ -20,11 +20,11 @@
   boost::asio::post(loop, [done, result] { done(result); });
 }
 
-/// "version;key" as a plan with one route.
+/// Parses "version;key" as a plan with the two routes.
 ServingPlan planOf(const Resource &object) {
   const std::size_t at = object.Body.find(';');
   if (at == std::string::npos)
-    throw Error("not a plan");
+    throw Error("plan must have the form version;key");
   ServingPlan plan;
   plan.Version = std::stoull(object.Body.substr(0, at));
   ServingRoute route;
@@ -56,10 +56,10 @@
   record.InZone = ZoneId("z");
   const std::size_t at = object.Body.find(' ');
   if (at == std::string::npos)
-    throw Error("not a replica");
+    throw Error("replica must have the form address state");
   record.Address = object.Body.substr(0, at);
   record.IsLeaving = object.Body.substr(at + 1) == "leaving";
-  // "new..." is a replica of the new version.
+  // A replica whose name starts with "new" has the new version.
   record.OfVersion = VersionId(object.Name.substr(0, 3) == "new" ? "v2" : "v1");
   return record;
 }
@@ -151,20 +151,20 @@
   const std::lock_guard<std::mutex> lock(Mutex);
   Objects &objects = Kinds[kind];
   const auto it = objects.find(object.Name);
-  const bool isThere = it != objects.end();
-  const bool conflicts = isNew ? isThere
-                               : isThere && object.Revision != 0 &&
+  const bool hasObject = it != objects.end();
+  const bool conflicts = isNew ? hasObject
+                               : hasObject && object.Revision != 0 &&
                                      it->second.Revision != object.Revision;
-  if (conflicts || (!isNew && !isThere)) {
+  if (conflicts || (!isNew && !hasObject)) {
     result.Failure = conflicts ? StoreFailure::Conflict : StoreFailure::Missing;
   } else {
-    Resource kept = object;
-    // What changes nothing is no change.
-    const bool isSame = isThere && it->second.Body == object.Body &&
+    Resource writtenObject = object;
+    // A write that changes nothing gets no new revision.
+    const bool isSame = hasObject && it->second.Body == object.Body &&
                         it->second.Status == object.Status;
-    kept.Revision = isSame ? it->second.Revision : ++Revision;
-    objects[object.Name] = kept;
-    result.Got = kept;
+    writtenObject.Revision = isSame ? it->second.Revision : ++Revision;
+    objects[object.Name] = writtenObject;
+    result.Got = writtenObject;
   }
   done(result);
 }
@@ -188,9 +188,9 @@
                             const StoreCallback<ResourceChanges> &done) {
     ++Watches.at(static_cast<std::size_t>(kind));
     const auto timer = std::make_shared<boost::asio::steady_timer>(loop);
-    const auto look = std::make_shared<std::function<void(Duration)>>();
-    *look = [this, kind, after, done, timer,
-             weak = std::weak_ptr(look)](Duration left) {
+    const auto pollChanges = std::make_shared<std::function<void(Duration)>>();
+    *pollChanges = [this, kind, after, done, timer,
+                    weak = std::weak_ptr(pollChanges)](Duration left) {
       StoreResult<ResourceChanges> result;
       {
         const std::lock_guard<std::mutex> lock(Mutex);
@@ -202,14 +202,15 @@
       if (!result.Got || !result.Got->Changes.empty() ||
           left <= Duration::zero())
         return done(result);
-      timer->expires_after(WatchStep);
+      timer->expires_after(WatchPollInterval);
       timer->async_wait(
           [left, again = weak.lock()](boost::system::error_code ec) {
             if (!ec)
-              (*again)(left - WatchStep);
+              (*again)(left - WatchPollInterval);
           });
     };
-    boost::asio::post(loop, [look, waitLimit] { (*look)(waitLimit); });
+    boost::asio::post(loop,
+                      [pollChanges, waitLimit] { (*pollChanges)(waitLimit); });
   };
   out.Read = [this, &loop](ResourceKind kind, const std::string &name,
                            const StoreCallback<Resource> &done) {
@@ -369,10 +370,10 @@
 }
 
 void GatewayFixture::waitUntilSeen(ResourceKind kind) {
-  // The watch that is open or begins next tells it; the one after follows only
-  // when it has been told.
+  // The watch that is open or begins next returns the objects; the one after it
+  // begins once they have been processed.
   const int begun = Store.watches(kind);
-  for (int n = 0; n < MostTries && Store.watches(kind) < begun + 2; ++n)
+  for (int n = 0; n < MaxPollAttempts && Store.watches(kind) < begun + 2; ++n)
     std::this_thread::sleep_for(milliseconds(25));
   BOOST_REQUIRE_GE(Store.watches(kind), begun + 2);
 }
@@ -380,14 +381,15 @@
 HttpReply GatewayFixture::callUntil(int status, const std::string &key,
                                     const std::string &path) {
   HttpReply reply;
-  for (int n = 0; n < MostTries; ++n) {
+  for (int n = 0; n < MaxPollAttempts; ++n) {
     reply = call(key, path);
     if (reply.Status == status)
       return reply;
     std::this_thread::sleep_for(milliseconds(25));
   }
-  BOOST_REQUIRE_MESSAGE(false, "never answered " << status << ", at last "
-                                                 << reply.Status);
+  BOOST_REQUIRE_MESSAGE(false, "no response had status "
+                                   << status << "; the last one had "
+                                   << reply.Status);
   return reply;
 }
 
--- a/Tests/sorrelbayd/GatewayFixture.h
+++ b/Tests/sorrelbayd/GatewayFixture.h
@@ -15,17 +15,17 @@
 
 namespace sorrelbay {
 
-/// A store in memory that answers on the gateway's loop. Its objects may be
-/// changed from the test's thread; it can be made unreachable.
+/// An in-memory store that completes its calls on the gateway's event loop. A
+/// test may change its objects from another thread and make it unreachable.
 class FakeStore {
 public:
   ResourceStore hooks(boost::asio::io_context &loop);
   void put(ResourceKind kind, const std::string &name, const std::string &body);
   void remove(ResourceKind kind, const std::string &name);
   void setUnreachable(bool isUnreachable) { IsUnreachable = isUnreachable; }
-  /// Watches are no longer answered from history: the watcher must list.
+  /// Discards the change history, so that watchers have to list again.
   void forgetHistory();
-  /// Watches of the kind that have begun.
+  /// Number of watches of the kind that have begun.
   int watches(ResourceKind kind) {
     return Watches.at(static_cast<std::size_t>(kind));
   }
@@ -48,10 +48,10 @@
   std::array<std::atomic<int>, ResourceKindCount> Watches{};
 };
 
-/// A gateway with a store in memory and one upstream that the test scripts, all
-/// in this process. Plans are written "version;key": a route "/a/" that
-/// may not be repeated and one of resumable streams "/s/", both to the service
-/// "desk" and open to the key.
+/// A gateway with an in-memory store and one upstream that the test scripts,
+/// all in this process. A plan's text is "version;key". The plan has two routes
+/// to the service "desk", both open to the key: "/a/", whose calls must not be
+/// retried, and "/s/", with resumable streams.
 class GatewayFixture {
 public:
   using Answer = std::function<void(std::shared_ptr<HttpExchange>)>;
@@ -62,22 +62,23 @@
   GatewayFixture(const GatewayFixture &) = delete;
   GatewayFixture &operator=(const GatewayFixture &) = delete;
 
-  /// Waits until the gateway has seen what the store holds of the kind now.
-  /// Fails the test if it never does.
+  /// Waits until the gateway has read all objects of the kind that the store
+  /// holds now. Fails the test if it never does.
   void waitUntilSeen(ResourceKind kind);
-  /// Sends a call with that key; the route's timeout is three
-  /// seconds.
+  /// Sends a call with that key; the timeout of the route is three seconds.
   HttpReply call(const std::string &key, const std::string &path = "/a/1");
-  /// Calls until it is answered with that status. Fails the test if it never
-  /// is.
+  /// Repeats the call until its response has that status. Fails the test if it
+  /// never does.
   HttpReply callUntil(int status, const std::string &key,
                       const std::string &path = "/a/1");
-  /// Runs the work where exchanges of the upstream belong, and waits for it.
+  /// Runs the work on the upstream's event loop, where its exchanges must be
+  /// used, and waits until it is done.
   void onUpstream(const std::function<void()> &work);
   void addReplica(const std::string &id, bool isLeaving = false);
 
   FakeStore Store;
-  /// What the upstream does; at first it answers 200 "ok".
+  /// The upstream's request handler. The initial one responds 200 with "ok for"
+  /// and the team.
   Answer Upstream;
   std::atomic<int> UpstreamCalls{0};
   std::unique_ptr<Gateway> Served;
--- a/Tests/sorrelbayd/TestDutyLease.cpp
+++ b/Tests/sorrelbayd/TestDutyLease.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-GatewaySettings keeperSettings(Duration lease) {
+GatewaySettings dutyLeaseSettings(Duration lease) {
   GatewaySettings settings;
   settings.Host = HostId("host");
   settings.Zone = ZoneId("z");
@@ -17,11 +17,11 @@
   return settings;
 }
 
-/// One host that stands by for the duties, with a store that can lose its
-/// answer to the next write.
-struct KeeperWorld {
-  explicit KeeperWorld(Duration lease = milliseconds(300))
-      : State(Loop, keeperSettings(lease), hooks()) {
+/// One host that stands by for the duties. Its store can lose the response to
+/// the next write.
+struct DutyLeaseFixture {
+  explicit DutyLeaseFixture(Duration lease = milliseconds(300))
+      : State(Loop, dutyLeaseSettings(lease), hooks()) {
     State.Self = [] {
       FleetMember self;
       self.Host = HostId("host");
@@ -36,8 +36,8 @@
                             ResourceKind kind, const Resource &object,
                             const StoreCallback<Resource> &done) {
       inner(kind, object, [this, done](const StoreResult<Resource> &result) {
-        const bool isLost = IsNextLost;
-        IsNextLost = false;
+        const bool isLost = LosesNextReply;
+        LosesNextReply = false;
         done(isLost ? StoreResult<Resource>{{}, StoreFailure::Unknown}
                     : result);
       });
@@ -57,7 +57,7 @@
 
   boost::asio::io_context Loop;
   FakeStore Store;
-  bool IsNextLost = false;
+  bool LosesNextReply = false;
   GatewayState State;
   DutyLease Duties{State};
 };
@@ -66,47 +66,49 @@
 
 BOOST_AUTO_TEST_SUITE(duty_keeper)
 
-// All hosts are killed and start again. For as long as the lease of a process
-// that is gone runs, nobody orders replicas or reports usage.
-BOOST_AUTO_TEST_CASE(a_host_takes_its_earlier_life_s_lease_at_once) {
-  KeeperWorld world(hours(1));
-  world.Store.put(ResourceKind::Duties, "duties",
-                  R"({"holder":"earlier","host":"host","fencing":7})");
-  BOOST_TEST_REQUIRE(world.waitForDuties());
-  BOOST_TEST(world.Duties.stamp().FencingToken == 8U);
+// All hosts are killed and start again. If a host waited for the lease of its
+// own earlier process to expire, no host would order replicas or report usage
+// until then.
+BOOST_AUTO_TEST_CASE(a_host_takes_its_earlier_process_s_lease_at_once) {
+  DutyLeaseFixture fixture(hours(1));
+  fixture.Store.put(ResourceKind::Duties, "duties",
+                    R"({"holder":"earlier","host":"host","fencing":7})");
+  BOOST_TEST_REQUIRE(fixture.waitForDuties());
+  BOOST_TEST(fixture.Duties.stamp().FencingToken == 8U);
 }
 
-// The store takes the write that makes this host the holder, and its answer is
-// lost. The host finds out by reading; if it then went on with the number of
-// an earlier term, its orders would be those of a holder that is long gone.
-BOOST_AUTO_TEST_CASE(a_lease_whose_answer_was_lost_has_its_own_number) {
-  KeeperWorld world;
-  world.Store.put(ResourceKind::Duties, "duties",
-                  R"({"holder":"another","host":"b","fencing":7})");
-  world.IsNextLost = true;
-  BOOST_TEST_REQUIRE(world.waitForDuties());
-  BOOST_TEST(world.Duties.stamp().FencingToken == 8U);
-  BOOST_TEST(world.Duties.term() == 8U);
+// The store performs the write that acquires the lease, but its response is
+// lost, and the host learns of it by reading. With the fencing token of an
+// earlier term, its orders would count as those of an earlier holder.
+BOOST_AUTO_TEST_CASE(
+    a_lease_whose_response_was_lost_has_its_own_fencing_token) {
+  DutyLeaseFixture fixture;
+  fixture.Store.put(ResourceKind::Duties, "duties",
+                    R"({"holder":"another","host":"b","fencing":7})");
+  fixture.LosesNextReply = true;
+  BOOST_TEST_REQUIRE(fixture.waitForDuties());
+  BOOST_TEST(fixture.Duties.stamp().FencingToken == 8U);
+  BOOST_TEST(fixture.Duties.term() == 8U);
 }
 
-// The platform's store gives no new revision to a write that changes nothing.
-// Seen from other hosts a holder that renewed so would look like one that is
-// gone, and two hosts would order replicas by turns.
+// The platform's store assigns no new revision to a write that changes nothing.
+// If a renewal were such a write, other hosts would take the lease for expired,
+// and two hosts would order replicas alternately.
 BOOST_AUTO_TEST_CASE(each_renewal_is_seen_by_others) {
-  KeeperWorld world;
-  BOOST_TEST_REQUIRE(world.waitForDuties());
+  DutyLeaseFixture fixture;
+  BOOST_TEST_REQUIRE(fixture.waitForDuties());
   FleetMember self;
-  world.Duties.addLeaseTo(self, bootNow());
+  fixture.Duties.addLeaseTo(self, bootNow());
   const std::uint64_t taken = self.LeaseRevision;
   for (int n = 0; n < 1000 && self.LeaseRevision == taken; ++n) {
-    world.Duties.tick(bootNow());
-    world.Loop.restart();
-    world.Loop.run_for(milliseconds(5));
+    fixture.Duties.tick(bootNow());
+    fixture.Loop.restart();
+    fixture.Loop.run_for(milliseconds(5));
     std::this_thread::sleep_for(milliseconds(2));
-    world.Duties.addLeaseTo(self, bootNow());
+    fixture.Duties.addLeaseTo(self, bootNow());
   }
   BOOST_TEST(self.LeaseRevision > taken);
-  BOOST_TEST(self.FencingToken == world.Duties.term());
+  BOOST_TEST(self.FencingToken == fixture.Duties.term());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Tests/sorrelbayd/TestGatewaySettings.cpp
+++ b/Tests/sorrelbayd/TestGatewaySettings.cpp
@@ -88,8 +88,8 @@
   BOOST_TEST(settings.MetricsListen == "10.0.0.1:5");
 }
 
-// Another platform gives its bounds as fractions; a daemon that refused them
-// would not serve there at all.
+// Another platform writes its bounds as fractions; a daemon that refused them
+// could not start there.
 BOOST_AUTO_TEST_CASE(bounds_may_be_fractions) {
   std::string text = Good;
   const auto set = [&](const std::string &from, const std::string &to) {
--- a/Tests/sorrelbayd/TestReplicaOrders.cpp
+++ b/Tests/sorrelbayd/TestReplicaOrders.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-GatewaySettings holderSettings() {
+GatewaySettings replicaOrdersSettings() {
   GatewaySettings settings;
   settings.Host = HostId("host");
   settings.Zone = ZoneId("a");
@@ -20,10 +20,10 @@
   return settings;
 }
 
-/// A holder of the duties before a cloud that accepts all orders, with a
-/// service of engines in four zones.
-struct OrdersWorld {
-  OrdersWorld() : State(Loop, holderSettings(), hooks()) {
+/// The holder of the duties with a cloud that accepts all orders and a service
+/// of engines in four zones.
+struct ReplicaOrdersFixture {
+  ReplicaOrdersFixture() : State(Loop, replicaOrdersSettings(), hooks()) {
     State.Self = [] {
       FleetMember self;
       self.Host = HostId("host");
@@ -59,7 +59,7 @@
   }
 
   void takeDuties() {
-    // A host that has just started waits to hear of others.
+    // A host that has just started first waits for reports of others.
     for (int n = 0; n < 1000 && !Duties.isHeld(bootNow()); ++n) {
       Duties.tick(bootNow());
       Loop.restart();
@@ -80,25 +80,26 @@
 
 BOOST_AUTO_TEST_SUITE(replica_orders)
 
-// Two zones are reclaimed. The orders for all zones are due at once; given one
-// at each tick the last comes a second late, and callers wait as much longer.
+// Two zones are reclaimed and the orders for all zones are due at once. With
+// one order for each tick, the last would be a second late, and calls would
+// wait that much longer.
 BOOST_AUTO_TEST_CASE(orders_that_are_due_do_not_wait_for_the_next_tick) {
-  OrdersWorld world;
-  world.takeDuties();
-  BOOST_TEST_REQUIRE(world.Duties.isHeld(bootNow()));
-  world.Orders.tick(bootNow());
-  for (int n = 0; n < 200 && world.Ordered.size() < 4; ++n) {
-    world.Loop.restart();
-    world.Loop.run_for(milliseconds(10));
+  ReplicaOrdersFixture fixture;
+  fixture.takeDuties();
+  BOOST_TEST_REQUIRE(fixture.Duties.isHeld(bootNow()));
+  fixture.Orders.tick(bootNow());
+  for (int n = 0; n < 200 && fixture.Ordered.size() < 4; ++n) {
+    fixture.Loop.restart();
+    fixture.Loop.run_for(milliseconds(10));
   }
-  BOOST_TEST(world.Ordered.size() >= 4U);
+  BOOST_TEST(fixture.Ordered.size() >= 4U);
 }
 
-// A move is done and the old version's replicas stop, but their entries stay
-// for seconds. Counted as serving they made the new version's replicas
-// superfluous, and nearly all of those were sent away.
+// A rollout is complete and the old version's replicas stop, but their entries
+// stay for seconds. Counted as serving, they would make the new version's
+// replicas superfluous, and nearly all of those would be removed.
 BOOST_AUTO_TEST_CASE(replicas_of_the_version_that_was_left_do_not_count) {
-  OrdersWorld world;
+  ReplicaOrdersFixture fixture;
   for (const char *zone : {"a", "b", "c", "d"})
     for (const char *version : {"v1", "v2"})
       for (int n = 0; n < 3; ++n) {
@@ -108,31 +109,32 @@
         record.InZone = ZoneId(zone);
         record.OfVersion = VersionId(version);
         record.IsReclaimable = record.OfVersion == VersionId("v1");
-        world.State.Replicas.note(record, bootNow());
+        fixture.State.Replicas.note(record, bootNow());
       }
-  world.State.VersionFor = [](const ServiceId &, const std::string &) {
+  fixture.State.VersionFor = [](const ServiceId &, const std::string &) {
     return VersionPreference{VersionId("v2"), {}};
   };
-  world.takeDuties();
-  BOOST_TEST_REQUIRE(world.Duties.isHeld(bootNow()));
+  fixture.takeDuties();
+  BOOST_TEST_REQUIRE(fixture.Duties.isHeld(bootNow()));
   for (int n = 0; n < 20; ++n) {
-    world.Orders.tick(bootNow());
-    world.Loop.restart();
-    world.Loop.run_for(milliseconds(50));
+    fixture.Orders.tick(bootNow());
+    fixture.Loop.restart();
+    fixture.Loop.run_for(milliseconds(50));
   }
-  BOOST_TEST(!world.Ordered.empty());
+  BOOST_TEST(!fixture.Ordered.empty());
   int onDemand = 12;
-  for (const ReplicaOrder &it : world.Ordered)
+  for (const ReplicaOrder &it : fixture.Ordered)
     if (!it.IsReclaimable)
       onDemand += it.Count - 3;
   BOOST_TEST(onDemand >= 5);
 }
 
-// Reclaimable replicas that were sent away after a peak were taken for a
-// reclaim in each zone, and dear ones came for all that was left.
+// Reclaimable replicas are removed after a peak. Taken for a reclaim in each
+// zone, that would replace all remaining ones by on-demand replicas, which cost
+// more.
 BOOST_AUTO_TEST_CASE(replicas_that_were_sent_away_are_no_reclaim) {
   for (const bool isReclaim : {true, false}) {
-    OrdersWorld world;
+    ReplicaOrdersFixture fixture;
     for (const char *zone : {"a", "b", "c", "d"})
       for (int n = 0; n < 4; ++n) {
         ReplicaRecord record;
@@ -143,20 +145,21 @@
         record.IsLeaving = n >= 2;
         if (isReclaim && record.IsLeaving)
           record.LeavesIn = seconds(2);
-        world.State.Replicas.note(record, bootNow());
+        fixture.State.Replicas.note(record, bootNow());
       }
-    world.takeDuties();
-    BOOST_TEST_REQUIRE(world.Duties.isHeld(bootNow()));
-    world.Orders.tick(bootNow());
+    fixture.takeDuties();
+    BOOST_TEST_REQUIRE(fixture.Duties.isHeld(bootNow()));
+    fixture.Orders.tick(bootNow());
     for (int n = 0; n < 20; ++n) {
-      world.Loop.restart();
-      world.Loop.run_for(milliseconds(10));
+      fixture.Loop.restart();
+      fixture.Loop.run_for(milliseconds(10));
     }
-    const bool isDearOrdered = std::any_of(
-        world.Ordered.begin(), world.Ordered.end(), [](const ReplicaOrder &it) {
-          return !it.IsReclaimable && it.Count > 1;
-        });
-    BOOST_TEST(isDearOrdered == isReclaim);
+    const bool hasOrderedOnDemand =
+        std::any_of(fixture.Ordered.begin(), fixture.Ordered.end(),
+                    [](const ReplicaOrder &it) {
+                      return !it.IsReclaimable && it.Count > 1;
+                    });
+    BOOST_TEST(hasOrderedOnDemand == isReclaim);
   }
 }
 
--- a/Tests/sorrelbayd/TestUsageRecord.cpp
+++ b/Tests/sorrelbayd/TestUsageRecord.cpp
@@ -14,24 +14,24 @@
 
 BOOST_AUTO_TEST_SUITE(usage_record)
 
-// All hosts are killed in the middle of a window. Those that start after them
-// count from zero and never hear of what was counted before: the team is billed
-// for half of its calls.
+// All hosts are killed in the middle of a window. Hosts that start afterwards
+// count from zero and never receive the earlier counts, so the team would be
+// billed for only a part of its calls.
 BOOST_AUTO_TEST_CASE(counts_survive_a_kill_of_all_hosts) {
   UsageCounts before(IncarnationId("old"), Here, seconds(5));
   for (int n = 0; n < 40; ++n)
     before.noteCallStarted(Team, InWindow);
   before.noteHost(Here, IncarnationId("old peer"), Window, {{Team, 7}});
-  const std::string kept = encodeUsageRecord(
+  const std::string encodedRecord = encodeUsageRecord(
       {{{Window - 1, {{{Team, 90}}, true}}}, before.snapshotFrom(Window)});
 
   UsageCounts after(IncarnationId("new"), Here, seconds(5));
   for (int n = 0; n < 3; ++n)
     after.noteCallStarted(Team, InWindow);
-  const UsageRecord record = decodeUsageRecord(kept);
+  const UsageRecord record = decodeUsageRecord(encodedRecord);
   BOOST_TEST(record.Settled.at(Window - 1).Counts.at(Team) == 90);
   BOOST_TEST(record.Settled.at(Window - 1).IsAccepted);
-  // Twice, as it is read again in each term.
+  // Merged twice, since the record is read again in each term.
   for (int n = 0; n < 2; ++n)
     for (const auto &[window, known] : record.Known)
       after.mergeSnapshot(window, known);
