--- a/Services/sorrelbayd/DutyLease.h
+++ b/Services/sorrelbayd/DutyLease.h
@@ -13,7 +13,7 @@
 public:
   explicit DutyLease(GatewayState &state);
 
-  /// Performs the periodic work; call it several times a second.
+  /// To be called several times a second.
   void tick(Instant now);
   /// Whether this host holds the lease and may exercise the duties.
   bool isHeld(Instant now) const { return Lease.isHeld(now); }
--- a/Services/sorrelbayd/GatewayFleet.h
+++ b/Services/sorrelbayd/GatewayFleet.h
@@ -38,7 +38,7 @@
   void start();
   /// Removes this host's entry from the store.
   void leave();
-  /// Performs the periodic work; call it several times a second.
+  /// To be called several times a second.
   void tick(Instant now);
   void publish(Instant now);
   /// Publishes a report now, unless the last one is only milliseconds old.
--- a/Services/sorrelbayd/GatewayRollouts.cpp
+++ b/Services/sorrelbayd/GatewayRollouts.cpp
@@ -69,16 +69,16 @@
       ++counts[it.OfVersion];
   if (counts.empty())
     return;
-  serviceRollout.OldReplicaVersion =
-      std::max_element(
-          counts.begin(), counts.end(),
-          [](const auto &a, const auto &b) { return a.second < b.second; })
-          ->first;
+  serviceRollout.Old = std::max_element(counts.begin(), counts.end(),
+                                        [](const auto &a, const auto &b) {
+                                          return a.second < b.second;
+                                        })
+                           ->first;
 }
 
 void GatewayRollouts::begin(ServiceRollout &serviceRollout, Instant fleetNow) {
   findOldVersion(serviceRollout);
-  if (serviceRollout.OldReplicaVersion.empty())
+  if (serviceRollout.Old.empty())
     return;
   int replicas = 0;
   for (const ReplicaRecord &it : State.Replicas.records())
@@ -91,8 +91,7 @@
   RolloutPlan plan;
   plan.New =
       qualifiedName(serviceRollout.Order.Service, serviceRollout.Order.Target);
-  plan.Old = qualifiedName(serviceRollout.Order.Service,
-                           serviceRollout.OldReplicaVersion);
+  plan.Old = qualifiedName(serviceRollout.Order.Service, serviceRollout.Old);
   plan.Deadline = serviceRollout.Deadline;
   plan.ReplicaShare = 1.0 / std::max(1, replicas);
   for (const ServingRoute &it : State.Plan->plan().Routes) {
@@ -116,7 +115,7 @@
   serviceRollout.Run.emplace(plan, State.Settings.Host);
   LogLine(Severity::Info, "move begun")
       .field("service", serviceRollout.Order.Service.text())
-      .field("from", serviceRollout.OldReplicaVersion.text())
+      .field("from", serviceRollout.Old.text())
       .field("to", serviceRollout.Order.Target.text())
       .field("left_ms", toMilliseconds(serviceRollout.Deadline - fleetNow));
 }
@@ -166,7 +165,7 @@
   int open = 0;
   for (const ReplicaRecord &it : State.Replicas.records())
     if (it.OfService == serviceRollout.Order.Service &&
-        it.OfVersion == serviceRollout.OldReplicaVersion)
+        it.OfVersion == serviceRollout.Old)
       open += State.Replicas.workAt(it.Id).Calls;
   return open;
 }
@@ -220,12 +219,11 @@
         (serviceRollout.Run &&
          serviceRollout.Run->state() == RolloutState::TakenBack);
     if (mustUseOld || !serviceRollout.Run)
-      return {serviceRollout.OldReplicaVersion, serviceRollout.Order.Target};
+      return {serviceRollout.Old, serviceRollout.Order.Target};
     const VersionId chosen = chooseVersion(serviceRollout.Run->shares(), callId,
                                            true, State.Time.at(now));
     const bool isNew = chosen == serviceRollout.Run->plan().New;
-    return {isNew ? serviceRollout.Order.Target
-                  : serviceRollout.OldReplicaVersion,
+    return {isNew ? serviceRollout.Order.Target : serviceRollout.Old,
             VersionId()};
   }
   return {};
--- a/Services/sorrelbayd/GatewayRollouts.h
+++ b/Services/sorrelbayd/GatewayRollouts.h
@@ -23,7 +23,7 @@
   /// Handles a new or changed order.
   void applyOrder(const Resource &object);
   void remove(const std::string &name);
-  /// Performs the periodic work; call it several times a second.
+  /// To be called several times a second.
   void tick(Instant now);
 
   VersionPreference versionFor(const ServiceId &service,
@@ -44,7 +44,7 @@
     RolloutOrder Order;
     Resource Object;
     std::optional<Rollout> Run;
-    VersionId OldReplicaVersion;
+    VersionId Old;
     Instant Deadline{};
     Instant WrittenAt{};
   };
--- a/Services/sorrelbayd/ReplicaOrders.h
+++ b/Services/sorrelbayd/ReplicaOrders.h
@@ -16,7 +16,7 @@
 public:
   ReplicaOrders(GatewayState &state, const DutyLease &duties);
 
-  /// Performs the periodic work; call it several times a second.
+  /// To be called several times a second.
   void tick(Instant now);
 
 private:
--- a/Services/sorrelbayd/UsageReporter.h
+++ b/Services/sorrelbayd/UsageReporter.h
@@ -18,7 +18,7 @@
 public:
   UsageReporter(GatewayState &state, const DutyLease &duties);
 
-  /// Performs the periodic work; call it several times a second.
+  /// To be called several times a second.
   void tick(Instant now);
 
 private:
