--- a/Services/sorrelbayd/DutyLease.cpp
+++ b/Services/sorrelbayd/DutyLease.cpp
@@ -25,7 +25,7 @@
     : State(state),
       Lease(state.Incarnation, leaseSettings(state.Settings.Bounds)) {}
 
-LeaseHolder DutyLease::stamp() const {
+LeaseHolder DutyLease::leaseHolder() const {
   return {State.Settings.Host, FencingToken};
 }
 
--- a/Services/sorrelbayd/DutyLease.h
+++ b/Services/sorrelbayd/DutyLease.h
@@ -17,7 +17,7 @@
   void tick(Instant now);
   /// Whether this host holds the lease and may exercise the duties.
   bool isHeld(Instant now) const { return Lease.isHeld(now); }
-  LeaseHolder stamp() const;
+  LeaseHolder leaseHolder() const;
   /// Adds the lease, if it is held, to this host's entry for reports to peers.
   void addLeaseTo(FleetMember &self, Instant now) const;
   /// Number of the term; increases each time the lease is acquired.
--- a/Services/sorrelbayd/Gateway.cpp
+++ b/Services/sorrelbayd/Gateway.cpp
@@ -232,7 +232,7 @@
     Fleet.relayChanges(kind, from, changes, begun);
   };
   hooks.IsPolling = [this] { return Fleet.leads(bootNow()); };
-  hooks.IsUnreached = [this] { return State.Reach.isUnreached(); };
+  hooks.IsUnreached = [this] { return State.Reachability.isUnreached(); };
   hooks.IsProber = [kind] { return kind == ResourceKind::Plan; };
   return std::make_unique<ResourceWatcher>(Loop, State.Hooks.Store, kind,
                                            settings, std::move(hooks));
@@ -268,7 +268,7 @@
           .field("version", static_cast<std::int64_t>(version));
       return;
     }
-    State.FirstTokens = firstTokenLimits(plan);
+    State.FirstTokenWaitLimits = firstTokenLimits(plan);
     for (const ServingService &it : plan.Services)
       State.Replicas.setColdRate(it.Name, it.ColdRate);
     State.Plan = std::make_shared<const PlanIndex>(std::move(plan));
@@ -357,7 +357,7 @@
   self.CallerAddress = Callers->address();
   self.IsReady = isReady(now);
   self.IsLeaving = State.isStopping();
-  self.IsStoreUnreachable = State.Reach.isStoreUnreachable(now);
+  self.IsStoreUnreachable = State.Reachability.isStoreUnreachable(now);
   Duties.addLeaseTo(self, now);
   return self;
 }
--- a/Services/sorrelbayd/GatewayCall.cpp
+++ b/Services/sorrelbayd/GatewayCall.cpp
@@ -76,7 +76,7 @@
   if (!service)
     return refuse(Unavailable, "route_without_service", std::nullopt);
   Service = service->Name;
-  Work.Tokens = Call.PromptTokens.value_or(0) + Call.MaxOutputTokens;
+  ExpectedCost.Tokens = Call.PromptTokens.value_or(0) + Call.MaxOutputTokens;
   const auto retryBudget = State.RetryBudgets.find(Service);
   if (retryBudget != State.RetryBudgets.end())
     retryBudget->second.noteCall();
@@ -212,10 +212,9 @@
          it->second.takeRetry(RetryLayer::EntryHost);
 }
 
-/// Whether the upstream may get this call by a new or pooled connection. An
-/// upstream accepts a limited number of connections from all hosts together and
-/// resets those beyond it along with their calls, so each host uses at most its
-/// share.
+/// Whether this host may use a connection to the upstream. An upstream accepts
+/// a limited number of connections from all hosts together and resets those
+/// beyond it along with their calls, so each host uses at most its share.
 bool GatewayCall::hasConnectionCapacity(const std::string &address) const {
   const ServingService *service = Plan->service(Service);
   if (!service || service->MaxConnections <= 0 || State.Client.hasIdle(address))
@@ -225,8 +224,8 @@
   return State.Client.connections(address) < static_cast<std::size_t>(most);
 }
 
-/// Chooses the upstream for the next attempt. Upstreams without a connection to
-/// spare count as tried.
+/// Chooses the upstream for the next attempt. Upstreams that may not get
+/// another connection count as tried.
 std::optional<ReplicaChoice> GatewayCall::chooseUpstream(Instant now) {
   const ServingService *service = Plan->service(Service);
   ReplicaRequest request;
@@ -261,7 +260,7 @@
 bool GatewayCall::exceedsFirstTokenLimit(const ReplicaChoice &choice) const {
   if (!Route->IsStream || !State.Replicas.modelOf(Service).hasEnoughSamples())
     return false;
-  const Duration queueWaitLimit = State.FirstTokens.maxQueueWait(
+  const Duration queueWaitLimit = State.FirstTokenWaitLimits.maxQueueWait(
       {Service, priority(), Route->LatencyTarget});
   return queueWaitLimit > Duration::zero() && choice.Wait > queueWaitLimit;
 }
@@ -299,8 +298,8 @@
   CurrentSend.OfVersion = replica->OfVersion;
   CurrentSend.At = now;
   IsOpen = true;
-  Work.PromptTokens = chosen->TokensToPrefill;
-  State.Replicas.noteSent(chosen->Id, Work, now);
+  ExpectedCost.PromptTokens = chosen->TokensToPrefill;
+  State.Replicas.noteSent(chosen->Id, ExpectedCost, now);
   State.Replicas.notePrompt(chosen->Id, Call.Prompt, now);
   if (fromSeconds(prefillMs / 1000) >= LargePrompt)
     State.NotifyPeers();
@@ -356,7 +355,7 @@
   const Instant now = bootNow();
   CurrentSend.HasFirstByte = true;
   CurrentSend.FirstByteAt = now;
-  State.Replicas.noteFirstByte(CurrentSend.Replica, Work);
+  State.Replicas.noteFirstByte(CurrentSend.Replica, ExpectedCost);
   const bool isPromptRead =
       Route->IsStream && isSuccess() && !CurrentSend.IsNotRun;
   if (isPromptRead && Call.PromptTokens && !State.wasStalled(now)) {
@@ -417,8 +416,8 @@
     return;
   IsOpen = false;
   recordOutcome(result);
-  State.Replicas.noteEnded(CurrentSend.Replica, Work, CurrentSend.HasFirstByte,
-                           result, bootNow());
+  State.Replicas.noteEnded(CurrentSend.Replica, ExpectedCost,
+                           CurrentSend.HasFirstByte, result, bootNow());
 }
 
 /// Records the attempt's outcome for its version while the service is being
@@ -508,9 +507,9 @@
                                               : "upstream_broke_off");
 }
 
-/// Whether a stream whose upstream broke off may continue at another one, after
+/// Prepares a stream whose upstream broke off to continue at another one, after
 /// the last complete event and within the same response, so that its caller
-/// sees a pause instead of a cut.
+/// sees a pause instead of a cut. Returns false if it must not be continued.
 bool GatewayCall::resume() {
   if (!Route->IsResumable || !RetryState->canResume(bootNow()) ||
       !takeRetryFromBudget())
--- a/Services/sorrelbayd/GatewayCall.h
+++ b/Services/sorrelbayd/GatewayCall.h
@@ -87,7 +87,7 @@
   const ServingTeam *Team = nullptr;
   ServiceId Service;
   std::optional<CallRetryState> RetryState;
-  CallCost Work;
+  CallCost ExpectedCost;
   std::int64_t Units = 0;
   bool HasChargedUnits = false;
   std::vector<UpstreamId> Tried;
--- a/Services/sorrelbayd/GatewayFleet.cpp
+++ b/Services/sorrelbayd/GatewayFleet.cpp
@@ -95,7 +95,7 @@
   report.FleetTimeMs = toEpochMilliseconds(State.Time.own(now));
   report.Members = {self()};
   ReportMerger.fillOwnReport(report, now);
-  report.Moves = Hooks.Moves(ReportScope::Host);
+  report.Moves = Hooks.EncodedRollouts(ReportScope::Host);
   return report;
 }
 
@@ -178,7 +178,7 @@
       it->Members.clear();
       continue;
     }
-    it->Moves = Hooks.Moves(it->Scope);
+    it->Moves = Hooks.EncodedRollouts(it->Scope);
     ReportMerger.fillUsage(*it);
   }
   Link->send(State.Fleet.otherAggregators(now), encodeFleetMessage(zone));
@@ -190,7 +190,7 @@
   FleetReport ownZone = State.Fleet.ownZoneReport(zone);
   // All hosts need rollout steps and vetoes at once; only hosts that decide
   // need the evidence.
-  ownZone.Moves = Hooks.Moves(ownZone.Scope);
+  ownZone.Moves = Hooks.EncodedRollouts(ownZone.Scope);
   Link->send(State.Fleet.groupPeers(), encodeFleetMessage(ownZone));
 }
 
--- a/Services/sorrelbayd/GatewayFleet.h
+++ b/Services/sorrelbayd/GatewayFleet.h
@@ -18,7 +18,7 @@
   /// address and capacity.
   std::function<FleetMember()> Self;
   /// Encoded rollout knowledge of the hosts that the scope covers.
-  std::function<std::string(ReportScope)> Moves;
+  std::function<std::string(ReportScope)> EncodedRollouts;
   std::function<void(const std::string &)> OnPeerRollouts;
   /// A peer relayed changes from the store.
   std::function<void(const RelayedChanges &)> OnRelayedChanges;
--- a/Services/sorrelbayd/GatewayState.cpp
+++ b/Services/sorrelbayd/GatewayState.cpp
@@ -45,7 +45,7 @@
   const std::string name = std::string(call) + " " + toText(kind);
   Counts.countObjectApi(name, failure ? toText(*failure) : "ok");
   ++StoreCalls[name];
-  Reach.note(!isUnreached(failure), bootNow());
+  Reachability.note(!isUnreached(failure), bootNow());
 }
 
 void GatewayState::logStoreCalls(Instant now) {
--- a/Services/sorrelbayd/GatewayState.h
+++ b/Services/sorrelbayd/GatewayState.h
@@ -39,7 +39,7 @@
   const IncarnationId Incarnation;
   AsyncHttpClient Client;
 
-  StoreReachability Reach;
+  StoreReachability Reachability;
   /// Null until the first plan has been read from the store.
   std::shared_ptr<const PlanIndex> Plan;
   /// Start of the store call that last confirmed the plan.
@@ -53,7 +53,7 @@
   ReplicaTable Replicas;
   EngineDemand Demand;
   /// Limits of the plan in force.
-  QueueWaitLimits FirstTokens;
+  QueueWaitLimits FirstTokenWaitLimits;
   std::map<TeamId, TeamRateLimiter> RateLimiters;
   UsageCounts Usage;
   std::map<ServiceId, RetryBudget> RetryBudgets;
--- a/Services/sorrelbayd/ReplicaOrders.cpp
+++ b/Services/sorrelbayd/ReplicaOrders.cpp
@@ -118,7 +118,7 @@
   IsSending = true;
   const std::uint64_t term = Duties.term();
   State.Hooks.Cloud.Order(
-      Duties.stamp(), order, [this, order, term](CloudResult result) {
+      Duties.leaseHolder(), order, [this, order, term](CloudResult result) {
         IsSending = false;
         const Instant now = bootNow();
         LogLine(Severity::Info, "replicas ordered")
--- a/Services/sorrelbayd/UsageRecord.cpp
+++ b/Services/sorrelbayd/UsageRecord.cpp
@@ -65,7 +65,8 @@
         out.Known[it.at("window").get<WindowNumber>()] = toKnown(it);
     return out;
   } catch (const json::exception &error) {
-    throw UsageRecordMalformed(std::string("malformed usage record: ") + error.what());
+    throw UsageRecordMalformed(std::string("malformed usage record: ") +
+                               error.what());
   }
 }
 
--- a/Services/sorrelbayd/UsageReporter.cpp
+++ b/Services/sorrelbayd/UsageReporter.cpp
@@ -118,20 +118,20 @@
     return;
   const WindowNumber window = *next;
   IsCallPending = true;
-  State.Hooks.Cloud.ReportUsage(Duties.stamp(), window, Settled[window].Counts,
-                                [this, window](CloudResult result) {
-                                  IsCallPending = false;
-                                  LogLine(Severity::Info, "usage reported")
-                                      .field("window", window)
-                                      .field("result",
-                                             static_cast<std::int64_t>(result));
-                                  if (result != CloudResult::Accepted)
-                                    return;
-                                  Settled[window].IsAccepted = true;
-                                  // A new holder may have more windows to
-                                  // report.
-                                  tick(bootNow());
-                                });
+  State.Hooks.Cloud.ReportUsage(
+      Duties.leaseHolder(), window, Settled[window].Counts,
+      [this, window](CloudResult result) {
+        IsCallPending = false;
+        LogLine(Severity::Info, "usage reported")
+            .field("window", window)
+            .field("result", static_cast<std::int64_t>(result));
+        if (result != CloudResult::Accepted)
+          return;
+        Settled[window].IsAccepted = true;
+        // A new holder may have more windows to
+        // report.
+        tick(bootNow());
+      });
 }
 
 void UsageReporter::applyRecord(const std::string &text) {
--- a/Tests/sorrelbayd/TestDutyLease.cpp
+++ b/Tests/sorrelbayd/TestDutyLease.cpp
@@ -74,7 +74,7 @@
   fixture.Store.put(ResourceKind::Duties, "duties",
                     R"({"holder":"earlier","host":"host","fencing":7})");
   BOOST_TEST_REQUIRE(fixture.waitForDuties());
-  BOOST_TEST(fixture.Duties.stamp().FencingToken == 8U);
+  BOOST_TEST(fixture.Duties.leaseHolder().FencingToken == 8U);
 }
 
 // The store performs the write that acquires the lease, but its response is
@@ -87,7 +87,7 @@
                     R"({"holder":"another","host":"b","fencing":7})");
   fixture.LosesNextReply = true;
   BOOST_TEST_REQUIRE(fixture.waitForDuties());
-  BOOST_TEST(fixture.Duties.stamp().FencingToken == 8U);
+  BOOST_TEST(fixture.Duties.leaseHolder().FencingToken == 8U);
   BOOST_TEST(fixture.Duties.term() == 8U);
 }
 
