--- a/Services/sorrelbayd/DutyLease.cpp
+++ b/Services/sorrelbayd/DutyLease.cpp
@@ -7,11 +7,12 @@
 namespace sorrelbay {
 
 static constexpr const char *LeaseName = "duties";
-/// Beyond the bound, so that two holders never act by turns within it.
+/// Added to the bound on the lease, so that two hosts never exercise the duties
+/// alternately within it.
 static constexpr Duration TermMargin = seconds(1);
-/// Hosts of a group that stand by to take the duties; were it all, a large
-/// fleet would ask the store for the lease hundreds of times a second.
-static constexpr std::size_t Standbys = 3;
+/// Number of hosts of a group that stand by to take the lease. If all did, a
+/// large fleet would query the store for it hundreds of times a second.
+static constexpr std::size_t StandbyCount = 3;
 
 static LeaderLeaseSettings leaseSettings(const GatewayBounds &bounds) {
   LeaderLeaseSettings settings;
@@ -24,13 +25,13 @@
     : State(state),
       Lease(state.Incarnation, leaseSettings(state.Settings.Bounds)) {}
 
-LeaseHolder DutyLease::stamp() const {
+LeaseHolder DutyLease::leaseHolder() const {
   return {State.Settings.Host, FencingToken};
 }
 
 bool DutyLease::mayStandBy(Instant now) const {
   return !State.isStopping() && !State.Fleet.holdsDuties(now) &&
-         State.Fleet.isAmongFirst(State.Self(), Standbys, now);
+         State.Fleet.isAmongFirst(State.Self(), StandbyCount, now);
 }
 
 void DutyLease::tick(Instant now) {
@@ -41,7 +42,7 @@
         .field("revision", static_cast<std::int64_t>(Lease.fencing()));
   }
   noteReportedHolders(now);
-  if (IsWaiting)
+  if (IsCallPending)
     return;
   if (!WasHeld && !mayStandBy(now))
     return;
@@ -51,15 +52,15 @@
   case LeaseStep::Read:
     return read(now);
   case LeaseStep::Write:
-    // A host that stops lets the lease run out instead of handing it over:
-    // the next holder then never acts within the old one's lease.
+    // A stopping host lets the lease expire instead of releasing it, so that
+    // the next holder never acts within the old holder's term.
     if (!State.isStopping())
       write(now);
     return;
   }
 }
 
-void DutyLease::tell(FleetMember &self, Instant now) const {
+void DutyLease::addLeaseTo(FleetMember &self, Instant now) const {
   self.HoldsDuties = isHeld(now);
   if (!self.HoldsDuties)
     return;
@@ -71,18 +72,18 @@
   for (const KnownMember &it : State.Fleet.members()) {
     if (it.Member.LeaseRevision == 0)
       continue;
-    SeenFencing = std::max(SeenFencing, it.Member.FencingToken);
+    HighestFencingToken = std::max(HighestFencingToken, it.Member.FencingToken);
     Lease.noteReported(
         {IncarnationId(it.Member.Host.text()), it.Member.LeaseRevision}, now);
   }
 }
 
 void DutyLease::read(Instant /*now*/) {
-  IsWaiting = true;
+  IsCallPending = true;
   State.Hooks.Store.Read(
       ResourceKind::Duties, LeaseName,
       [this](const StoreResult<Resource> &result) {
-        IsWaiting = false;
+        IsCallPending = false;
         const Instant now = bootNow();
         if (!result.Got) {
           if (result.Failure == StoreFailure::Missing)
@@ -93,20 +94,21 @@
             nlohmann::json::parse(result.Got->Body, nullptr, false);
         LeaseState seen;
         std::uint64_t fencing = 0;
-        bool isOwnEarlier = false;
+        bool isFromEarlierProcess = false;
         seen.Version = result.Got->Revision;
         if (body.is_object()) {
           seen.Holder = IncarnationId(body.value("holder", ""));
           fencing = body.value("fencing", std::uint64_t{0});
-          SeenFencing = std::max(SeenFencing, fencing);
-          isOwnEarlier = body.value("host", "") == State.Settings.Host.text() &&
-                         seen.Holder != State.Incarnation;
+          HighestFencingToken = std::max(HighestFencingToken, fencing);
+          isFromEarlierProcess =
+              body.value("host", "") == State.Settings.Host.text() &&
+              seen.Holder != State.Incarnation;
         }
         Lease.noteRead(seen, now);
-        if (isOwnEarlier)
+        if (isFromEarlierProcess)
           Lease.noteReleased();
-        // Its own write, whose answer was lost: the number
-        // went with it.
+        // This host's own write, whose response was lost along with the fencing
+        // token.
         if (Lease.isHeld(now))
           FencingToken = fencing;
       });
@@ -114,26 +116,27 @@
 
 void DutyLease::write(Instant now) {
   const bool isRenewal = Lease.isHeld(now);
-  const std::uint64_t fencing = isRenewal ? FencingToken : SeenFencing + 1;
+  const std::uint64_t fencing =
+      isRenewal ? FencingToken : HighestFencingToken + 1;
   Resource object;
   object.Name = LeaseName;
   object.Revision = Lease.expectedVersion();
   object.Body = nlohmann::json{
       {"holder", State.Incarnation.text()},
       {"host", State.Settings.Host.text()},
-      // A write that changes nothing leaves the revision as it is: the others
-      // would see a lease that nobody renews.
-      {"renewals", ++Renewals},
+      // A write that changes nothing gets no new revision from the store, and
+      // other hosts would see a lease that is not renewed.
+      {"renewals", ++LeaseWrites},
       {"fencing",
        fencing}}.dump();
-  IsWaiting = true;
+  IsCallPending = true;
   const auto done = [this, now, fencing](const StoreResult<Resource> &result) {
-    IsWaiting = false;
+    IsCallPending = false;
     const Instant at = bootNow();
     if (result.Got) {
       Lease.noteWritten(result.Got->Revision, now, at);
       FencingToken = fencing;
-      SeenFencing = fencing;
+      HighestFencingToken = fencing;
     } else if (result.Failure == StoreFailure::Unknown) {
       Lease.noteUnknown(now, at);
     } else if (result.Failure != StoreFailure::Unavailable) {
--- a/Services/sorrelbayd/GatewayCall.h
+++ b/Services/sorrelbayd/GatewayCall.h
@@ -12,19 +12,20 @@
 
 namespace sorrelbay {
 
-/// One attempt of a caller from its reading to its end: who it belongs to,
-/// whether it is let in, where it is sent, and what its caller gets. It keeps
-/// itself alive through its hooks, which all go with its end.
+/// Serves one caller request from start to end: identifies its team, admits or
+/// rejects it, chooses upstreams, and relays the response. The object is kept
+/// alive by the shared pointers in its callbacks and is destroyed with the last
+/// of them.
 class GatewayCall : public std::enable_shared_from_this<GatewayCall> {
 public:
-  /// Serves the request; returns at once.
+  /// Starts serving the request and returns without waiting for it.
   static void serve(GatewayState &state,
                     std::shared_ptr<HttpExchange> exchange);
 
   GatewayCall(GatewayState &state, std::shared_ptr<HttpExchange> exchange);
 
 private:
-  /// One send to an upstream.
+  /// One attempt to send the call to an upstream.
   struct Send {
     UpstreamId Replica;
     Instant At{};
@@ -35,7 +36,7 @@
     HttpReplyHead Head;
     VersionId OfVersion;
     Instant FirstByteAt{};
-    /// What it was expected to meet there.
+    /// The prompt tokens and delays that were expected at the upstream.
     ReplicaChoice Expected;
   };
 
@@ -46,8 +47,8 @@
   bool chargeUnits();
   bool admit();
   void trySend();
-  bool mayRepeat();
-  HttpCallHooks hooksFor();
+  bool takeRetryFromBudget();
+  HttpCallHooks upstreamHooks();
   void onHead(const HttpReplyHead &head);
   void onBody(std::string_view bytes);
   void onEnd();
@@ -62,19 +63,20 @@
   void noteFirstByte();
   bool hasConnectionCapacity(const std::string &address) const;
   bool resume();
-  void cut(const char *cause);
+  void abortResponse(const char *cause);
   void retryOrFinish(const char *cause);
   void beginResponse();
-  void passOn(std::string_view bytes);
+  void relayStream(std::string_view bytes);
   void finishResponse();
   void noteCallStarted();
-  /// The final answer of our own.
+  /// Ends the call without an upstream's response: with an error response or,
+  /// if a response has begun, by aborting it.
   void finishLocally(const char *cause);
   void refuse(int status, const char *cause,
               std::optional<Duration> retryAfter);
   Duration jitteredRetryAfter(Duration least);
   void log(const char *outcome, int status, const char *cause);
-  bool isSuccess() const { return Now.Head.Status / 100 == 2; }
+  bool isSuccess() const { return CurrentSend.Head.Status / 100 == 2; }
 
   GatewayState &State;
   std::shared_ptr<HttpExchange> Exchange;
@@ -84,14 +86,14 @@
   const ServingRoute *Route = nullptr;
   const ServingTeam *Team = nullptr;
   ServiceId Service;
-  std::optional<CallRetryState> Life;
-  CallCost Work;
+  std::optional<CallRetryState> RetryState;
+  CallCost ExpectedCost;
   std::int64_t Units = 0;
-  bool HasUnits = false;
+  bool HasChargedUnits = false;
   std::vector<UpstreamId> Tried;
-  int NotSent = 0;
+  int FailedConnects = 0;
   std::shared_ptr<HttpCallHandle> Handle;
-  Send Now;
+  Send CurrentSend;
   bool IsOpen = false;
   bool HasBegun = false;
   bool IsCounted = false;
--- a/Services/sorrelbayd/GatewayFleet.cpp
+++ b/Services/sorrelbayd/GatewayFleet.cpp
@@ -10,23 +10,24 @@
 
 namespace {
 
-/// At the least between two reports, whatever happens.
-constexpr Duration ShortestPublishGap = milliseconds(20);
-/// How often the store is asked who the peers are: soon after the start, when
-/// all hosts have come at once, with longer and longer pauses, then rarely.
-constexpr Duration FirstSearches = milliseconds(500);
-constexpr Duration LaterSearches = seconds(10);
-/// In a large fleet a host that doesn't aggregate hears of others from the
-/// peers of its group and from its aggregator; a new host makes itself known to
+/// Shortest time between two reports, whatever triggers them.
+constexpr Duration MinPublishInterval = milliseconds(20);
+/// Intervals at which the store is queried for peers: short and increasing
+/// after the start, when all hosts may have started together, then long.
+constexpr Duration FirstLookupInterval = milliseconds(500);
+constexpr Duration LookupInterval = seconds(10);
+/// In a large fleet, a host that does not aggregate learns of others from the
+/// peers of its group and from its aggregator; a new host announces itself to
 /// the peers of its group.
-constexpr Duration RareSearches = seconds(60);
-constexpr int FirstSearchCount = 3;
-/// Between two reports that name all members and carry what changes slowly.
-constexpr Duration WholeInterval = seconds(1);
-/// Larger changes are passed on in parts: as one message they would hold up the
-/// reports behind them. A single object that is larger is asked for by each
-/// host.
-constexpr std::size_t MostPassedOn = 48UL * 1024;
+constexpr Duration RareLookupInterval = seconds(60);
+constexpr int FirstLookupCount = 3;
+/// Interval of the reports that list all members and carry slowly changing
+/// data.
+constexpr Duration FullReportInterval = seconds(1);
+/// Most bytes of relayed changes in one message. Larger sets are split, since
+/// one message would delay the reports behind it; a single object that is
+/// larger is fetched by each host.
+constexpr std::size_t MaxRelayedBytes = 48UL * 1024;
 
 void logSource(const FleetReport &report, bool counts) {
   LogLine(Severity::Info, counts ? "peer heard" : "peer no longer counted")
@@ -48,14 +49,14 @@
   return std::any_of(changes.Changes.begin(), changes.Changes.end(),
                      [](const ResourceChange &it) {
                        return it.Object.Body.size() + it.Object.Status.size() >
-                              MostPassedOn;
+                              MaxRelayedBytes;
                      });
 }
 
 } // namespace
 
 GatewayFleet::GatewayFleet(GatewayState &state, GatewayFleetHooks hooks)
-    : State(state), Hooks(std::move(hooks)), SearchTimer(state.Loop),
+    : State(state), Hooks(std::move(hooks)), LookupTimer(state.Loop),
       ProcessStartedAt(bootNow()),
       ReportMerger(state.Fleet,
                    {state.Replicas, state.Demand, state.RateLimiters,
@@ -64,15 +65,15 @@
 
 void GatewayFleet::listen() {
   FleetLink::Hooks hooks;
-  hooks.OnReport = [this](const FleetReport &report) { heard(report); };
-  hooks.OnRelayedChanges = [this](const RelayedChanges &news) {
-    Hooks.OnRelayedChanges(news);
+  hooks.OnReport = [this](const FleetReport &report) { applyReport(report); };
+  hooks.OnRelayedChanges = [this](const RelayedChanges &relayed) {
+    Hooks.OnRelayedChanges(relayed);
   };
   Link =
       std::make_unique<FleetLink>(State.Loop, State.Settings.PeerListen, hooks);
 }
 
-void GatewayFleet::start() { findPeers(); }
+void GatewayFleet::start() { lookUpPeers(); }
 
 FleetMember GatewayFleet::self() const {
   FleetMember self = Hooks.Self();
@@ -94,7 +95,7 @@
   report.FleetTimeMs = toEpochMilliseconds(State.Time.own(now));
   report.Members = {self()};
   ReportMerger.fillOwnReport(report, now);
-  report.Moves = Hooks.Moves(ReportScope::Host);
+  report.Moves = Hooks.EncodedRollouts(ReportScope::Host);
   return report;
 }
 
@@ -129,8 +130,9 @@
     publishAggregates(own, now);
 }
 
-/// A collector's work is needed by the other collectors only; the rest get it
-/// within the zone's sum, and a heartbeat besides.
+/// Sends this host's report. Only the other collectors need a collector's work
+/// in detail; the other hosts get it within the zone's sum, and get a heartbeat
+/// from the collector.
 void GatewayFleet::sendOwnReport(const FleetReport &own, Instant now) {
   const std::vector<HostId> peers =
       State.Fleet.reportPeers(own.Members.front(), now);
@@ -151,30 +153,32 @@
   Link->send(without(peers, collectors), encodeFleetMessage(heartbeat));
 }
 
-/// Tells other zones' aggregators the sum of this zone, and this zone the sum
-/// of itself and of the others. Members, usage and moves change slowly and are
-/// many; they go along once a second, or when a member has changed.
+/// Sends this zone's sum to other zones' aggregators, and that sum and the sum
+/// of the other zones to this zone. Members, usage and rollout knowledge are
+/// large and change slowly; they are included once a second, or when a member
+/// has changed.
 void GatewayFleet::publishAggregates(const FleetReport &own, Instant now) {
   FleetReport zone = State.Fleet.zoneReport(own, now);
   FleetReport others = State.Fleet.othersReport(own, now);
-  const bool isWhole = now - MembersSentAt >= WholeInterval ||
-                       Named[zone.Scope] != zone.Members ||
-                       Named[others.Scope] != others.Members;
-  if (isWhole) {
+  const bool isFullReport = now - MembersSentAt >= FullReportInterval ||
+                            SentMembers[zone.Scope] != zone.Members ||
+                            SentMembers[others.Scope] != others.Members;
+  if (isFullReport) {
     MembersSentAt = now;
-    Named[zone.Scope] = zone.Members;
-    Named[others.Scope] = others.Members;
+    SentMembers[zone.Scope] = zone.Members;
+    SentMembers[others.Scope] = others.Members;
   }
   for (FleetReport *it : {&zone, &others}) {
-    // A host that hears sums only would otherwise go by one clock.
+    // A host that receives only sums would otherwise follow a single host's
+    // clock.
     it->FleetTimeMs = toEpochMilliseconds(State.Time.at(now));
     it->Usage.clear();
     it->Moves.clear();
-    if (!isWhole) {
+    if (!isFullReport) {
       it->Members.clear();
       continue;
     }
-    it->Moves = Hooks.Moves(it->Scope);
+    it->Moves = Hooks.EncodedRollouts(it->Scope);
     ReportMerger.fillUsage(*it);
   }
   Link->send(State.Fleet.otherAggregators(now), encodeFleetMessage(zone));
@@ -184,19 +188,19 @@
   Link->send(without(State.Fleet.groupPeers(), collectors),
              encodeFleetMessage(others));
   FleetReport ownZone = State.Fleet.ownZoneReport(zone);
-  // Steps and vetoes must come to all hosts at once; evidence only to those
-  // that decide by it.
-  ownZone.Moves = Hooks.Moves(ownZone.Scope);
+  // All hosts need rollout steps and vetoes at once; only hosts that decide
+  // need the evidence.
+  ownZone.Moves = Hooks.EncodedRollouts(ownZone.Scope);
   Link->send(State.Fleet.groupPeers(), encodeFleetMessage(ownZone));
 }
 
-void GatewayFleet::publishSoon() {
+void GatewayFleet::publishPromptly() {
   const Instant now = bootNow();
-  if (now - PublishedAt >= ShortestPublishGap)
+  if (now - PublishedAt >= MinPublishInterval)
     publish(now);
 }
 
-void GatewayFleet::heard(const FleetReport &report) {
+void GatewayFleet::applyReport(const FleetReport &report) {
   const Instant now = bootNow();
   if (!State.Fleet.receive(report, now))
     return;
@@ -205,39 +209,40 @@
   ReportMerger.take(report, self(), now);
 }
 
-void GatewayFleet::passOn(ResourceKind kind, std::uint64_t from,
-                          const ResourceChanges &changes, Instant begun) {
+void GatewayFleet::relayChanges(ResourceKind kind, std::uint64_t from,
+                                const ResourceChanges &changes, Instant begun) {
   const Instant now = bootNow();
   if (!aggregates(now))
     return;
-  RelayedChanges news;
-  news.Kind = kind;
-  news.From = from;
-  news.Changes.AtRevision = changes.AtRevision;
-  news.IsTruncated = hasLargeObject(changes);
-  if (!news.IsTruncated)
-    news.Changes.Changes = changes.Changes;
-  news.Age = now - begun;
+  RelayedChanges relayed;
+  relayed.Kind = kind;
+  relayed.From = from;
+  relayed.Changes.AtRevision = changes.AtRevision;
+  relayed.IsTruncated = hasLargeObject(changes);
+  if (!relayed.IsTruncated)
+    relayed.Changes.Changes = changes.Changes;
+  relayed.Age = now - begun;
   std::vector<HostId> peers = State.Fleet.groupPeers();
   if (State.Fleet.isAggregatedByZone() && leads(now)) {
     const auto others = State.Fleet.otherAggregators(now);
     peers.insert(peers.end(), others.begin(), others.end());
   }
-  std::vector<RelayedChanges> parts = splitIntoParts(news, MostPassedOn);
+  std::vector<RelayedChanges> parts = splitIntoParts(relayed, MaxRelayedBytes);
   RelayedChanges last = std::move(parts.back());
   parts.pop_back();
   for (const RelayedChanges &it : parts)
     Link->send(peers, encodeFleetMessage(it));
   for (const HostId &it : peers) {
-    // To a host that has not spoken yet the news says what changed, but not how
-    // old that is.
+    // A host that has not sent a report yet learns what changed, but not how
+    // old the changes are.
     const auto echo = PeerClocks.find(it);
     last.Echo = echo == PeerClocks.end() ? 0 : echo->second;
     Link->send({it}, encodeFleetMessage(last));
   }
 }
 
-/// An earlier life's entry says the same where the host has its old address.
+/// Registers this host unless the store holds the same entry already, possibly
+/// from an earlier process at the same address.
 void GatewayFleet::registerIfMissing(const std::vector<FleetMember> &members) {
   if (IsRegistered || State.isStopping())
     return;
@@ -266,8 +271,8 @@
                              if (IsRegistered ||
                                  result.Failure != StoreFailure::Conflict)
                                return;
-                             // An earlier life's entry, which may name another
-                             // address.
+                             // The entry of an earlier process, which may have
+                             // another address.
                              State.Hooks.Store.Replace(
                                  ResourceKind::Hosts, own,
                                  [this](const StoreResult<Resource> &replaced) {
@@ -281,7 +286,8 @@
                            [](const StoreResult<Resource> &) {});
 }
 
-/// A host's entry; one without an address names nobody.
+/// Parses a host's entry. PeerAddress is empty if the entry has none or is
+/// malformed.
 static FleetMember registeredMember(const Resource &object) {
   FleetMember out;
   const auto body = nlohmann::json::parse(object.Body, nullptr, false);
@@ -300,7 +306,7 @@
   return out;
 }
 
-void GatewayFleet::findPeers() {
+void GatewayFleet::lookUpPeers() {
   if (State.isStopping())
     return;
   State.Hooks.Store.List(ResourceKind::Hosts,
@@ -317,15 +323,17 @@
                            registerIfMissing(members);
                          });
   const Instant now = bootNow();
-  const bool hearsOthers = State.Fleet.isAggregatedByZone() && !aggregates(now);
-  const Duration later = hearsOthers ? RareSearches : LaterSearches;
+  const bool usesRelayedReports =
+      State.Fleet.isAggregatedByZone() && !aggregates(now);
+  const Duration later =
+      usesRelayedReports ? RareLookupInterval : LookupInterval;
   const bool isFirst =
-      ++PeerLookups <= FirstSearchCount && !State.Fleet.hasRecentZoneSum(now);
-  SearchTimer.expires_after(isFirst ? FirstSearches * (2 * PeerLookups - 1)
-                                    : later);
-  SearchTimer.async_wait([this](boost::system::error_code ec) {
+      ++PeerLookups <= FirstLookupCount && !State.Fleet.hasRecentZoneSum(now);
+  LookupTimer.expires_after(
+      isFirst ? FirstLookupInterval * (2 * PeerLookups - 1) : later);
+  LookupTimer.async_wait([this](boost::system::error_code ec) {
     if (!ec)
-      findPeers();
+      lookUpPeers();
   });
 }
 
--- a/Services/sorrelbayd/GatewayRollouts.h
+++ b/Services/sorrelbayd/GatewayRollouts.h
@@ -10,36 +10,37 @@
 
 namespace sorrelbay {
 
-/// The moves that operators have ordered in the store: which version a call
-/// goes to, what was seen of both, and what the order's status says. Every
-/// host judges by the evidence of all and takes a version back by itself; the
-/// holder of the duties writes the status. Times are true time, because hosts
-/// tell them to each other. Belongs to the loop's thread.
+/// Performs the rollouts that operators order in the store: chooses the version
+/// for each call, collects evidence on the old and new version, and maintains
+/// each order's status. Every host judges the new version by the evidence of
+/// all hosts and rolls it back by its own decision; the holder of the duties
+/// writes the status. Times are fleet time (FleetClock), since hosts exchange
+/// them. Used only on the event loop's thread.
 class GatewayRollouts {
 public:
   GatewayRollouts(GatewayState &state, const DutyLease &duties);
 
-  /// An order is new or has changed.
-  void take(const Resource &object);
+  /// Handles a new or changed order.
+  void applyOrder(const Resource &object);
   void remove(const std::string &name);
   /// To be called several times a second.
   void tick(Instant now);
 
   VersionPreference versionFor(const ServiceId &service,
                                const std::string &callId, Instant now) const;
-  /// A send to an upstream of that version has ended.
+  /// Records the outcome of an attempt at an upstream of that version.
   void record(const ServiceId &service, const VersionId &version,
               const RouteId &route, UpstreamOutcome outcome);
   bool isRollingOut(const ServiceId &service) const;
 
-  /// What this host tells its peers for itself, or where it aggregates for
-  /// others; empty if there is no move.
-  std::string news(ReportScope scope) const;
-  /// A peer has sent what it knows.
-  void receive(const std::string &news, Instant now);
+  /// Encoded rollout knowledge of the hosts that the scope covers; empty if no
+  /// rollout is under way.
+  std::string encodedKnowledge(ReportScope scope) const;
+  /// Merges a peer's encoded knowledge; logs and ignores it if malformed.
+  void mergePeerKnowledge(const std::string &encoded, Instant now);
 
 private:
-  struct Move {
+  struct ServiceRollout {
     RolloutOrder Order;
     Resource Object;
     std::optional<Rollout> Run;
@@ -48,17 +49,18 @@
     Instant WrittenAt{};
   };
 
-  void findOldVersion(Move &move) const;
-  void begin(Move &move, Instant fleetNow);
-  void writeStatus(Move &move, Instant now);
-  RolloutOutcome outcomeOf(const Move &move, Instant fleetNow) const;
-  int openCallsAtOldVersion(const Move &move) const;
+  void findOldVersion(ServiceRollout &serviceRollout) const;
+  void begin(ServiceRollout &serviceRollout, Instant fleetNow);
+  void writeStatus(ServiceRollout &serviceRollout, Instant now);
+  RolloutOutcome outcomeOf(const ServiceRollout &serviceRollout,
+                           Instant fleetNow) const;
+  int openCallsAtOldVersion(const ServiceRollout &serviceRollout) const;
 
   GatewayState &State;
   const DutyLease &Duties;
   EvidenceSource Self;
-  std::map<std::string, Move> Moves;
-  RolloutKnowledge Known;
+  std::map<std::string, ServiceRollout> RolloutsByName;
+  RolloutKnowledge MergedKnowledge;
   bool IsWriting = false;
 };
 
--- a/Services/sorrelbayd/GatewayState.cpp
+++ b/Services/sorrelbayd/GatewayState.cpp
@@ -5,21 +5,23 @@
 
 namespace sorrelbay {
 
-/// Between two lines about calls to the store.
-static constexpr Duration StoreCallsInterval = seconds(10);
+/// Interval of the log lines about calls to the store.
+static constexpr Duration StoreCallsLogInterval = seconds(10);
 
-/// The loop's regular work comes several times a second.
-static constexpr Duration LongestTickGap = seconds(1);
+/// The periodic work runs several times a second; a longer gap means that the
+/// process was suspended.
+static constexpr Duration StallThreshold = seconds(1);
 
-/// A name that no other life of any daemon has.
+/// An id that no other process of any daemon has.
 static IncarnationId newIncarnation(const HostId &host) {
   std::random_device source;
   return IncarnationId(host.text() + "/" + std::to_string(source()) + "-" +
                        std::to_string(source()));
 }
 
-/// The hooks with each call to the store told to the state.
-static GatewayHooks counted(GatewayHooks hooks, GatewayState &state) {
+/// Wraps the hooks so that the state counts each call to the store.
+static GatewayHooks countingStoreCalls(GatewayHooks hooks,
+                                       GatewayState &state) {
   hooks.Store = instrumentedStore(
       hooks.Store, [&state](const char *call, ResourceKind kind,
                             std::optional<StoreFailure> failure) {
@@ -31,7 +33,7 @@
 GatewayState::GatewayState(boost::asio::io_context &loop,
                            GatewaySettings settings, GatewayHooks hooks)
     : Loop(loop), Settings(std::move(settings)),
-      Hooks(counted(std::move(hooks), *this)),
+      Hooks(countingStoreCalls(std::move(hooks), *this)),
       Incarnation(newIncarnation(Settings.Host)),
       Client(loop, {milliseconds(250), seconds(4), 32UL * 1024}),
       Usage(Incarnation, Settings.Zone, Settings.Bounds.UsageWindow),
@@ -43,11 +45,11 @@
   const std::string name = std::string(call) + " " + toText(kind);
   Counts.countObjectApi(name, failure ? toText(*failure) : "ok");
   ++StoreCalls[name];
-  Reach.note(!isUnreached(failure), bootNow());
+  Reachability.note(!isUnreached(failure), bootNow());
 }
 
 void GatewayState::logStoreCalls(Instant now) {
-  if (now - StoreCallsLoggedAt < StoreCallsInterval)
+  if (now - StoreCallsLoggedAt < StoreCallsLogInterval)
     return;
   if (!StoreCalls.empty()) {
     LogLine line(Severity::Info, "store calls");
@@ -65,10 +67,10 @@
 }
 
 bool GatewayState::wasStalled(Instant now) const {
-  return TickedAt != Instant{} && now - TickedAt > LongestTickGap;
+  return TickedAt != Instant{} && now - TickedAt > StallThreshold;
 }
 
-double GatewayState::draw() {
+double GatewayState::randomFraction() {
   return std::uniform_real_distribution<double>(0, 1)(Random);
 }
 
--- a/Services/sorrelbayd/ReplicaOrders.h
+++ b/Services/sorrelbayd/ReplicaOrders.h
@@ -9,9 +9,9 @@
 
 namespace sorrelbay {
 
-/// Orders replicas by the plan of each service that may be scaled, while this
-/// host holds the duties; one order at a time, and no faster than the cloud
-/// takes them. Belongs to the loop's thread.
+/// Orders replicas from the cloud, as the autoscaler of each scalable service
+/// decides, while this host holds the duties: one order at a time, within the
+/// cloud's rate limit. Used only on the event loop's thread.
 class ReplicaOrders {
 public:
   ReplicaOrders(GatewayState &state, const DutyLease &duties);
@@ -27,10 +27,10 @@
 
   GatewayState &State;
   const DutyLease &Duties;
-  std::map<ServiceId, ReplicaAutoscaler> Plans;
-  /// The term of the lease that the plans were made in.
-  std::uint64_t PlansTerm = 0;
-  std::deque<ReplicaOrder> Waiting;
+  std::map<ServiceId, ReplicaAutoscaler> Autoscalers;
+  /// The lease term in which the autoscalers were created.
+  std::uint64_t AutoscalersTerm = 0;
+  std::deque<ReplicaOrder> PendingOrders;
   boost::asio::steady_timer SendTimer;
   bool IsSending = false;
   Instant SentAt{};
--- a/Services/sorrelbayd/UsageReporter.cpp
+++ b/Services/sorrelbayd/UsageReporter.cpp
@@ -5,26 +5,26 @@
 namespace sorrelbay {
 
 static constexpr const char *RecordName = "recent";
-/// After a window's end until all hosts' counts of it have arrived.
+/// Time after a window's end within which all hosts' counts of it arrive.
 static constexpr Duration SettleTime = milliseconds(1200);
-/// A silent host is waited for until this part of the due time has passed ...
-static constexpr double LongestSettle = 0.5;
-/// ... unless silent hosts are this part of all at the most: what they counted
-/// puts the sum off by less than matters.
-static constexpr double NegligibleShare = 0.025;
-/// Between two records of what is known of the windows that go on.
-static constexpr Duration KeepInterval = seconds(1);
-/// Windows that are kept in the record.
-static constexpr std::size_t MostRecorded = 12;
+/// Share of the due time for which a window waits for silent hosts.
+static constexpr double MaxSettleShare = 0.5;
+/// A window does not wait if at most this share of all hosts is silent: what
+/// they counted changes the sum too little to matter.
+static constexpr double NegligibleSilentShare = 0.025;
+/// Interval at which the counts known so far of unsettled windows are stored.
+static constexpr Duration SaveInterval = seconds(1);
+/// Number of windows kept in the record.
+static constexpr std::size_t MaxRecordedWindows = 12;
 
 UsageReporter::UsageReporter(GatewayState &state, const DutyLease &duties)
     : State(state), Duties(duties),
-      First(state.Usage.windowAt(state.Time.at(bootNow()))) {}
+      FirstWindow(state.Usage.windowAt(state.Time.at(bootNow()))) {}
 
 void UsageReporter::tick(Instant now) {
   State.Usage.forgetBefore(State.Usage.windowAt(State.Time.at(now)) -
-                           static_cast<WindowNumber>(MostRecorded));
-  if (!Duties.isHeld(now) || IsWaiting)
+                           static_cast<WindowNumber>(MaxRecordedWindows));
+  if (!Duties.isHeld(now) || IsCallPending)
     return;
   if (RecordTerm != Duties.term())
     return read();
@@ -35,14 +35,14 @@
 }
 
 void UsageReporter::read() {
-  IsWaiting = true;
+  IsCallPending = true;
   const std::uint64_t term = Duties.term();
   State.Hooks.Store.Read(ResourceKind::Usage, RecordName,
                          [this, term](const StoreResult<Resource> &result) {
-                           IsWaiting = false;
+                           IsCallPending = false;
                            if (result.Got) {
                              Revision = result.Got->Revision;
-                             take(result.Got->Body);
+                             applyRecord(result.Got->Body);
                            } else if (result.Failure != StoreFailure::Missing) {
                              return;
                            } else {
@@ -54,47 +54,49 @@
                          });
 }
 
-/// A host that is silent may have been stopped for a while with counts that
-/// nobody has heard of yet; it is waited for as long as the report is not late.
+/// Whether the window's counts are final. A silent host may have been suspended
+/// and hold counts that no other host has received; it is waited for as long as
+/// the report is not late.
 bool UsageReporter::isSettled(WindowNumber window, Instant now) const {
   const Duration age = State.Time.at(now) - State.Usage.endOf(window);
-  const Duration longest =
-      fromSeconds(toSeconds(State.Settings.Bounds.UsageDue) * LongestSettle);
-  const bool hearsEnough = State.Fleet.silentFraction(now) <= NegligibleShare;
-  return age >= SettleTime && (hearsEnough || age >= longest);
+  const Duration maxSettleTime =
+      fromSeconds(toSeconds(State.Settings.Bounds.UsageDue) * MaxSettleShare);
+  const bool hasEnoughReports =
+      State.Fleet.silentFraction(now) <= NegligibleSilentShare;
+  return age >= SettleTime && (hasEnoughReports || age >= maxSettleTime);
 }
 
 void UsageReporter::settle(Instant now) {
   const WindowNumber next =
-      Settled.empty() ? First : Settled.rbegin()->first + 1;
+      Settled.empty() ? FirstWindow : Settled.rbegin()->first + 1;
   if (isSettled(next, now)) {
     Settled[next].Counts = State.Usage.sum(next);
-    while (Settled.size() > MostRecorded)
+    while (Settled.size() > MaxRecordedWindows)
       Settled.erase(Settled.begin());
-  } else if (now - SavedAt < KeepInterval) {
+  } else if (now - SavedAt < SaveInterval) {
     return;
   }
-  keep(now);
+  saveRecord(now);
 }
 
-void UsageReporter::keep(Instant now) {
+void UsageReporter::saveRecord(Instant now) {
   SavedAt = now;
   const WindowNumber next =
-      Settled.empty() ? First : Settled.rbegin()->first + 1;
+      Settled.empty() ? FirstWindow : Settled.rbegin()->first + 1;
   Resource object;
   object.Name = RecordName;
   object.Revision = Revision;
   object.Body = encodeUsageRecord({Settled, State.Usage.snapshotFrom(next)});
-  IsWaiting = true;
+  IsCallPending = true;
   const auto done = [this](const StoreResult<Resource> &result) {
-    IsWaiting = false;
+    IsCallPending = false;
     if (result.Got) {
       Revision = result.Got->Revision;
       tick(bootNow());
       return;
     }
-    // Not recorded, or not known to be: nothing may be reported from it before
-    // the store has been read again.
+    // The record was not written, or it is not known whether it was: nothing
+    // may be reported from it before the store has been read again.
     Settled.clear();
     RecordTerm.reset();
   };
@@ -115,23 +117,24 @@
   if (!next)
     return;
   const WindowNumber window = *next;
-  IsWaiting = true;
-  State.Hooks.Cloud.ReportUsage(Duties.stamp(), window, Settled[window].Counts,
-                                [this, window](CloudResult result) {
-                                  IsWaiting = false;
-                                  LogLine(Severity::Info, "usage reported")
-                                      .field("window", window)
-                                      .field("result",
-                                             static_cast<std::int64_t>(result));
-                                  if (result != CloudResult::Accepted)
-                                    return;
-                                  Settled[window].IsAccepted = true;
-                                  // A new holder has windows to catch up with.
-                                  tick(bootNow());
-                                });
+  IsCallPending = true;
+  State.Hooks.Cloud.ReportUsage(
+      Duties.leaseHolder(), window, Settled[window].Counts,
+      [this, window](CloudResult result) {
+        IsCallPending = false;
+        LogLine(Severity::Info, "usage reported")
+            .field("window", window)
+            .field("result", static_cast<std::int64_t>(result));
+        if (result != CloudResult::Accepted)
+          return;
+        Settled[window].IsAccepted = true;
+        // A new holder may have more windows to
+        // report.
+        tick(bootNow());
+      });
 }
 
-void UsageReporter::take(const std::string &text) {
+void UsageReporter::applyRecord(const std::string &text) {
   Settled.clear();
   try {
     const UsageRecord record = decodeUsageRecord(text);
@@ -139,7 +142,7 @@
     for (const auto &[window, known] : record.Known)
       State.Usage.mergeSnapshot(window, known);
   } catch (const UsageRecordMalformed &error) {
-    LogLine(Severity::Error, "usage record can't be read")
+    LogLine(Severity::Error, "usage record is malformed")
         .field("why", error.what());
   }
 }
