--- a/Tests/LibServing/FleetSimulation.cpp
+++ b/Tests/LibServing/FleetSimulation.cpp
@@ -131,7 +131,7 @@
     return;
   ++Faults;
   StormUntil = Now + fromSeconds(4 + 8 * draw());
-  StoreAwayUntil = Now + fromSeconds(0.2 + 3 * draw() * draw());
+  StoreDownUntil = Now + fromSeconds(0.2 + 3 * draw() * draw());
   const double killed = draw() < 0.5 ? 0 : 0.5 * draw();
   for (Host &it : Hosts) {
     if (draw() >= killed)
@@ -147,11 +147,11 @@
   return (Now < StormUntil ? StormDemand : CalmDemand) * Rate;
 }
 
-void FleetSimulation::askStore(Host &host) {
+void FleetSimulation::queryStore(Host &host) {
   const bool mayAskStore =
       host.Reach.isUnreached() || host.View->aggregates(host.Member, Now);
   if (mayAskStore)
-    host.Reach.note(Now >= host.CutFromStoreUntil && Now >= StoreAwayUntil,
+    host.Reach.note(Now >= host.CutFromStoreUntil && Now >= StoreDownUntil,
                     Now);
 }
 
@@ -172,7 +172,7 @@
 
 void FleetSimulation::sendReports(Host &host) {
   const auto index = static_cast<std::size_t>(&host - Hosts.data());
-  askStore(host);
+  queryStore(host);
   host.Member.IsStoreUnreachable = host.Reach.isStoreUnreachable(Now);
   host.Member.HoldsDuties = host.Lease->isHeld(Now);
   host.Member.LeaseRevision =
@@ -269,7 +269,7 @@
                           host.View->isAmongFirst(host.Member, 3, Now);
   if (!isHeld && !mayStandBy)
     return;
-  const bool isReached = Now >= host.CutFromStoreUntil && Now >= StoreAwayUntil;
+  const bool isReached = Now >= host.CutFromStoreUntil && Now >= StoreDownUntil;
   switch (host.Lease->step(Now)) {
   case LeaseStep::None:
     return;
--- a/Tests/LibServing/FleetSimulation.h
+++ b/Tests/LibServing/FleetSimulation.h
@@ -101,7 +101,7 @@
   void injectFault();
   void startStorm();
   /// Queries the store like a host that aggregates for others.
-  void askStore(Host &host);
+  void queryStore(Host &host);
   /// What the team's callers request now, in units per second.
   double demand() const;
   void sendReports(Host &host);
@@ -125,7 +125,7 @@
   Instant Start{seconds(5000)};
   Instant Now;
   Instant LastFaultAt{};
-  Instant StoreAwayUntil{};
+  Instant StoreDownUntil{};
   /// The storm of the team's callers lasts until then.
   Instant StormUntil{};
   int Faults = 0;
