--- a/Tests/LibServing/FleetSimulation.cpp
+++ b/Tests/LibServing/FleetSimulation.cpp
@@ -131,7 +131,7 @@
     return;
   ++Faults;
   StormUntil = Now + fromSeconds(4 + 8 * draw());
-  StoreDownUntil = Now + fromSeconds(0.2 + 3 * draw() * draw());
+  StoreOutageUntil = Now + fromSeconds(0.2 + 3 * draw() * draw());
   const double killed = draw() < 0.5 ? 0 : 0.5 * draw();
   for (Host &it : Hosts) {
     if (draw() >= killed)
@@ -151,7 +151,7 @@
   const bool mayAskStore =
       host.Reach.isUnreached() || host.View->aggregates(host.Member, Now);
   if (mayAskStore)
-    host.Reach.note(Now >= host.CutFromStoreUntil && Now >= StoreDownUntil,
+    host.Reach.note(Now >= host.CutFromStoreUntil && Now >= StoreOutageUntil,
                     Now);
 }
 
@@ -269,7 +269,8 @@
                           host.View->isAmongFirst(host.Member, 3, Now);
   if (!isHeld && !mayStandBy)
     return;
-  const bool isReached = Now >= host.CutFromStoreUntil && Now >= StoreDownUntil;
+  const bool isReached =
+      Now >= host.CutFromStoreUntil && Now >= StoreOutageUntil;
   switch (host.Lease->step(Now)) {
   case LeaseStep::None:
     return;
--- a/Tests/LibServing/FleetSimulation.h
+++ b/Tests/LibServing/FleetSimulation.h
@@ -125,7 +125,7 @@
   Instant Start{seconds(5000)};
   Instant Now;
   Instant LastFaultAt{};
-  Instant StoreDownUntil{};
+  Instant StoreOutageUntil{};
   /// The storm of the team's callers lasts until then.
   Instant StormUntil{};
   int Faults = 0;
