--- a/Services/sorrelbayd/Gateway.cpp
+++ b/Services/sorrelbayd/Gateway.cpp
@@ -117,7 +117,7 @@
   addresses.Handle = [this](const std::shared_ptr<HttpExchange> &exchange) {
     if (!State.Hooks.IsAddressLookup(exchange->request()))
       return exchange->respond(NotFound, {}, "");
-    answerAddresses(*exchange);
+    respondToAddressLookup(*exchange);
   };
   Addresses = std::make_unique<AsyncHttpServer>(
       Loop, State.Settings.AddressListen, addresses);
@@ -371,7 +371,7 @@
   return State.knowsUpstreams() && hasKeys;
 }
 
-void Gateway::answerAddresses(HttpExchange &exchange) {
+void Gateway::respondToAddressLookup(HttpExchange &exchange) {
   const Instant now = bootNow();
   std::vector<std::string> addresses;
   std::vector<std::string> silentHosts;
--- a/Services/sorrelbayd/Gateway.h
+++ b/Services/sorrelbayd/Gateway.h
@@ -57,7 +57,7 @@
   makeWatcher(ResourceKind kind, const ResourceWatcherSettings &settings,
               ResourceWatcherHooks hooks);
   bool isReady(Instant now) const;
-  void answerAddresses(HttpExchange &exchange);
+  void respondToAddressLookup(HttpExchange &exchange);
   void updateRetryBudgets();
 
   boost::asio::io_context Loop;
--- a/Services/sorrelbayd/GatewayCall.cpp
+++ b/Services/sorrelbayd/GatewayCall.cpp
@@ -219,9 +219,10 @@
   const ServingService *service = Plan->service(Service);
   if (!service || service->MaxConnections <= 0 || State.Client.hasIdle(address))
     return true;
-  const int most =
+  const int maxOwnConnections =
       std::max(1, service->MaxConnections / State.Fleet.hostCount());
-  return State.Client.connections(address) < static_cast<std::size_t>(most);
+  return State.Client.connections(address) <
+         static_cast<std::size_t>(maxOwnConnections);
 }
 
 /// Chooses the upstream for the next attempt. Upstreams that may not get
@@ -567,14 +568,14 @@
 
 /// A random time after which the caller may retry: callers must not all return
 /// at the same time, and must have time left for the call itself.
-Duration GatewayCall::jitteredRetryAfter(Duration least) {
+Duration GatewayCall::jitteredRetryAfter(Duration shortestDelay) {
   const Duration waitLimit = Call.WaitLimit.value_or(DefaultWaitLimit);
   const Duration left = ReceivedAt + waitLimit - bootNow();
-  const Duration most = std::max<Duration>(
+  const Duration longestDelay = std::max<Duration>(
       Duration::zero(), fromSeconds(toSeconds(left) * MaxRetryAfterShare));
   const Duration spread =
-      fromSeconds(toSeconds(least) * (1 + State.randomFraction()));
-  return std::min(most, spread);
+      fromSeconds(toSeconds(shortestDelay) * (1 + State.randomFraction()));
+  return std::min(longestDelay, spread);
 }
 
 void GatewayCall::refuse(int status, const char *cause,
--- a/Services/sorrelbayd/GatewayCall.h
+++ b/Services/sorrelbayd/GatewayCall.h
@@ -74,7 +74,7 @@
   void finishLocally(const char *cause);
   void refuse(int status, const char *cause,
               std::optional<Duration> retryAfter);
-  Duration jitteredRetryAfter(Duration least);
+  Duration jitteredRetryAfter(Duration shortestDelay);
   void log(const char *outcome, int status, const char *cause);
   bool isSuccess() const { return CurrentSend.Head.Status / 100 == 2; }
 
--- a/Services/sorrelbayd/GatewaySettings.cpp
+++ b/Services/sorrelbayd/GatewaySettings.cpp
@@ -20,16 +20,17 @@
 
 /// A required number. Fractions and integers are accepted, since platforms
 /// write both.
-static double numberAt(TomlReader &from, const char *key, double least,
-                       double most) {
+static double numberAt(TomlReader &from, const char *key, double minAllowed,
+                       double maxAllowed) {
   if (!from.has(key))
     from.addFault(key, "is missing");
-  return from.number(key, least, least, most);
+  return from.number(key, minAllowed, minAllowed, maxAllowed);
 }
 
 static Duration millisecondsAt(TomlReader &from, const char *key,
-                               double least) {
-  return fromSeconds(numberAt(from, key, least, MaxMilliseconds) / MsPerSecond);
+                               double minAllowed) {
+  return fromSeconds(numberAt(from, key, minAllowed, MaxMilliseconds) /
+                     MsPerSecond);
 }
 
 static Duration secondsAt(TomlReader &from, const char *key) {
--- a/Tests/sorrelbayd/GatewayFixture.cpp
+++ b/Tests/sorrelbayd/GatewayFixture.cpp
@@ -15,8 +15,9 @@
 constexpr int MaxConnections = 4;
 
 template <typename Value>
-void answer(boost::asio::io_context &loop, const StoreCallback<Value> &done,
-            const StoreResult<Value> &result) {
+void completeCall(boost::asio::io_context &loop,
+                  const StoreCallback<Value> &done,
+                  const StoreResult<Value> &result) {
   boost::asio::post(loop, [done, result] { done(result); });
 }
 
@@ -181,7 +182,7 @@
         result.Got->Objects.push_back(it);
       result.Got->AtRevision = Revision;
     }
-    answer(loop, done, result);
+    completeCall(loop, done, result);
   };
   out.Watch = [this, &loop](ResourceKind kind, std::uint64_t after,
                             Duration waitLimit,
@@ -221,15 +222,15 @@
       result.Got = it->second;
     else if (!IsUnreachable)
       result.Failure = StoreFailure::Missing;
-    answer(loop, done, result);
+    completeCall(loop, done, result);
   };
   const auto writer = [this, &loop](bool isNew) {
     return [this, &loop, isNew](ResourceKind kind, const Resource &object,
                                 const StoreCallback<Resource> &done) {
       if (IsUnreachable)
-        return answer(loop, done, StoreResult<Resource>{});
+        return completeCall(loop, done, StoreResult<Resource>{});
       write(kind, object, isNew, [&](const StoreResult<Resource> &result) {
-        answer(loop, done, result);
+        completeCall(loop, done, result);
       });
     };
   };
@@ -239,7 +240,7 @@
   out.Remove = [this, &loop](ResourceKind kind, const std::string &name,
                              const StoreCallback<Resource> &done) {
     remove(kind, name);
-    answer(loop, done, StoreResult<Resource>{Resource{}, {}});
+    completeCall(loop, done, StoreResult<Resource>{Resource{}, {}});
   };
   return out;
 }
