--- a/Tests/LibObjectApi/TestCallLedger.cpp
+++ b/Tests/LibObjectApi/TestCallLedger.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// Objects in memory behind the real interface; every so many calls fail.
+/// An object API in memory. The reply to every `LoseEvery`th write is lost; 0
+/// loses none.
 struct FakeObjects {
   explicit FakeObjects(std::uint64_t loseEvery) : LoseEvery(loseEvery) {}
 
@@ -68,10 +69,10 @@
 
 static const std::uint64_t LoseEveryRows[] = {0, 2, 3};
 
-// Two daemons get the same bookings at once, each over many connections, and
-// the object API loses replies after the write took effect. If a lost reply
-// counted as a failure or as a success, a booking would be claimed twice or by
-// nobody.
+// Two daemons receive the same bookings at the same time, each over many
+// connections, and replies of the object API are lost after the write took
+// effect. Treating a lost reply as a failure or a success would let two daemons
+// claim a booking, or none.
 BOOST_DATA_TEST_CASE(ledger_gives_each_call_to_one_of_racing_threads,
                      data::make(LoseEveryRows), loseEvery) {
   FakeObjects objects(loseEvery);
@@ -97,8 +98,9 @@
   BOOST_TEST(held == Keys * (Threads - 1));
 }
 
-// The object API is down. The caller must hear so at once, not after retries.
-BOOST_AUTO_TEST_CASE(ledger_tells_an_outage_as_an_outcome) {
+// The object API is down. The caller must get an error at once, not after
+// retries.
+BOOST_AUTO_TEST_CASE(ledger_returns_an_outage_as_an_outcome) {
   int calls = 0;
   ObjectApi api;
   api.Read = [&calls](const std::string &) -> std::optional<StoredObject> {
--- a/Tests/LibObjectApi/TestRelayedChangesParts.cpp
+++ b/Tests/LibObjectApi/TestRelayedChangesParts.cpp
@@ -12,71 +12,72 @@
   return {{name, std::string(ObjectBytes, 'x'), "", revision}, isRemoved};
 }
 
-/// News from revision 100 of so many changes, the newest first.
-RelayedChanges newsOf(std::uint64_t changes) {
-  RelayedChanges news;
-  news.Kind = ResourceKind::Replicas;
-  news.From = 100;
-  news.Age = milliseconds(20);
-  news.Echo = 7;
+/// The given number of changes after revision 100, the newest first.
+RelayedChanges relayedOf(std::uint64_t changes) {
+  RelayedChanges relayed;
+  relayed.Kind = ResourceKind::Replicas;
+  relayed.From = 100;
+  relayed.Age = milliseconds(20);
+  relayed.Echo = 7;
   for (std::uint64_t n = changes; n > 0; --n)
-    news.Changes.Changes.push_back(change(100 + n));
-  news.Changes.AtRevision = 100 + changes + 5;
-  return news;
+    relayed.Changes.Changes.push_back(change(100 + n));
+  relayed.Changes.AtRevision = 100 + changes + 5;
+  return relayed;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(news_parts)
+BOOST_AUTO_TEST_SUITE(relayed_changes_parts)
 
-BOOST_AUTO_TEST_CASE(small_news_is_one_part) {
-  const RelayedChanges news = newsOf(3);
-  const auto parts = splitIntoParts(news, 1000);
+BOOST_AUTO_TEST_CASE(small_changes_are_one_part) {
+  const RelayedChanges relayed = relayedOf(3);
+  const auto parts = splitIntoParts(relayed, 1000);
   BOOST_REQUIRE(parts.size() == 1U);
   BOOST_TEST(parts[0].From == 100U);
   BOOST_TEST(parts[0].Changes.AtRevision == 108U);
   BOOST_TEST(parts[0].Echo == 7);
-  BOOST_TEST(splitIntoParts(newsOf(0), 1000).size() == 1U);
+  BOOST_TEST(splitIntoParts(relayedOf(0), 1000).size() == 1U);
 }
 
-// Half of a large fleet's replicas leave at once. Too large to be passed on,
-// each of hundreds of hosts asked the store for it, most of them in vain, and
-// calls reached upstreams that had long left.
-BOOST_AUTO_TEST_CASE(large_news_goes_in_parts_that_follow_each_other) {
-  const auto parts = splitIntoParts(newsOf(1500), 48000);
+// Half of a large fleet's replicas leave at once. The changes were too large to
+// be relayed, so hundreds of hosts queried the store, most of them without
+// success, and calls were sent to upstreams that had left long before.
+BOOST_AUTO_TEST_CASE(large_changes_are_split_into_consecutive_parts) {
+  const auto parts = splitIntoParts(relayedOf(1500), 48000);
   BOOST_REQUIRE(parts.size() >= 3U);
-  std::uint64_t reached = 100;
+  std::uint64_t lastRevision = 100;
   std::size_t changes = 0;
   for (const RelayedChanges &it : parts) {
     const bool isLast = &it == &parts.back();
-    BOOST_TEST(it.From == reached);
-    BOOST_TEST(it.Changes.AtRevision > reached);
+    BOOST_TEST(it.From == lastRevision);
+    BOOST_TEST(it.Changes.AtRevision > lastRevision);
     for (const ResourceChange &one : it.Changes.Changes) {
       BOOST_TEST(one.Object.Revision > it.From);
       BOOST_TEST(one.Object.Revision <= it.Changes.AtRevision);
     }
     BOOST_TEST(it.Changes.Changes.size() * ObjectBytes <= 48000U);
-    // A part says nothing of what is still to come.
+    // Only the last part confirms the receiver's view.
     BOOST_TEST((it.Echo == 0) == !isLast);
-    reached = it.Changes.AtRevision;
+    lastRevision = it.Changes.AtRevision;
     changes += it.Changes.Changes.size();
   }
-  BOOST_TEST(reached == 1605U);
+  BOOST_TEST(lastRevision == 1605U);
   BOOST_TEST(changes == 1500U);
 }
 
-// A list after lost history names what is gone by revisions that are long past.
+// After the store has dropped its history, the removals derived from a new list
+// carry old revisions.
 BOOST_AUTO_TEST_CASE(old_removals_lead_to_no_older_revision) {
-  RelayedChanges news = newsOf(10);
+  RelayedChanges relayed = relayedOf(10);
   for (std::uint64_t n = 1; n <= 10; ++n)
-    news.Changes.Changes.push_back(change(n, true));
-  std::uint64_t reached = news.From;
-  for (const RelayedChanges &it : splitIntoParts(news, 3 * ObjectBytes)) {
-    BOOST_TEST(it.From == reached);
-    BOOST_TEST(it.Changes.AtRevision >= reached);
-    reached = it.Changes.AtRevision;
+    relayed.Changes.Changes.push_back(change(n, true));
+  std::uint64_t lastRevision = relayed.From;
+  for (const RelayedChanges &it : splitIntoParts(relayed, 3 * ObjectBytes)) {
+    BOOST_TEST(it.From == lastRevision);
+    BOOST_TEST(it.Changes.AtRevision >= lastRevision);
+    lastRevision = it.Changes.AtRevision;
   }
-  BOOST_TEST(reached == news.Changes.AtRevision);
+  BOOST_TEST(lastRevision == relayed.Changes.AtRevision);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Tests/LibObjectApi/TestResourceWatcher.cpp
+++ b/Tests/LibObjectApi/TestResourceWatcher.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-/// A watcher of one kind whose store is played by the test: a call stays open
-/// until the test answers it. One that is told of changes has begun to ask
-/// because no news followed its list, unless it is `fresh`.
-struct World {
-  explicit World(bool asksAlways, ResourceWatcherSettings settings = {},
-                 bool fresh = false)
-      : IsPolling(asksAlways) {
+/// A watcher of one kind with a fake store: a call stays open until the test
+/// completes it. Unless the fixture is `fresh`, a watcher that does not poll
+/// has already started a watch because no changes were relayed after its list.
+struct WatcherFixture {
+  explicit WatcherFixture(bool isPolling, ResourceWatcherSettings settings = {},
+                          bool fresh = false)
+      : IsPolling(isPolling) {
     ResourceStore store;
     store.List = [this](ResourceKind,
                         const StoreCallback<ResourceListing> &done) {
@@ -27,7 +27,7 @@
     store.Watch = [this](ResourceKind, std::uint64_t after, Duration waitLimit,
                          const StoreCallback<ResourceChanges> &done) {
       ++Watches;
-      Waits = waitLimit;
+      LastWaitLimit = waitLimit;
       After = after;
       Watched = done;
     };
@@ -37,7 +37,7 @@
     hooks.OnConfirmed = [this](Instant begun) { Confirmed = begun; };
     hooks.OnWatched = [this](std::uint64_t from, const ResourceChanges &changes,
                              Instant) {
-      PassedOn.emplace_back(from, changes.AtRevision);
+      Relayed.emplace_back(from, changes.AtRevision);
       Changes = changes.Changes.size();
     };
     hooks.IsPolling = [this] { return IsPolling; };
@@ -54,11 +54,12 @@
                     milliseconds(1));
   }
 
-  /// News after `from` up to `asOf`, told this long after the call to the
-  /// store, in answer to what this host said `echoAge` ago.
-  static RelayedChanges news(std::uint64_t from, std::uint64_t asOf,
-                             std::vector<ResourceChange> changes,
-                             Duration echoAge = Duration::zero()) {
+  /// Relayed changes after revision `from` up to `asOf`, sent 100 ms after the
+  /// start of the call to the store. Their echo is this host's clock `echoAge`
+  /// ago.
+  static RelayedChanges relayed(std::uint64_t from, std::uint64_t asOf,
+                                std::vector<ResourceChange> changes,
+                                Duration echoAge = Duration::zero()) {
     RelayedChanges out;
     out.Kind = ResourceKind::Replicas;
     out.From = from;
@@ -73,9 +74,9 @@
   bool IsUnreached = false;
   bool IsProber = true;
   std::size_t Changes = 0;
-  Duration Waits{};
-  /// From which revision to which changes were passed on.
-  std::vector<std::pair<std::uint64_t, std::uint64_t>> PassedOn;
+  Duration LastWaitLimit{};
+  /// The first and last revision of each batch of relayed changes.
+  std::vector<std::pair<std::uint64_t, std::uint64_t>> Relayed;
   StoreCallback<ResourceListing> Listed;
   StoreCallback<ResourceChanges> Watched;
   int Lists = 0;
@@ -99,246 +100,252 @@
 
 BOOST_AUTO_TEST_SUITE(kind_watcher)
 
-BOOST_AUTO_TEST_CASE(a_host_that_is_told_of_changes_does_not_ask) {
-  World world(false);
-  BOOST_TEST(world.Watches == 1);
-  world.Watcher->receive(World::news(10, 12, {changed("b", "2", 12)}),
-                         bootNow());
-  BOOST_TEST(world.Seen.at("b") == "2");
+BOOST_AUTO_TEST_CASE(a_host_that_receives_relayed_changes_does_not_query) {
+  WatcherFixture fixture(false);
+  BOOST_TEST(fixture.Watches == 1);
+  fixture.Watcher->receive(
+      WatcherFixture::relayed(10, 12, {changed("b", "2", 12)}), bootNow());
+  BOOST_TEST(fixture.Seen.at("b") == "2");
   StoreResult<ResourceChanges> late;
   late.Got = ResourceChanges{{changed("b", "old", 11)}, 11};
-  world.Watched(late);
-  // The older answer undoes nothing, and no other call follows.
-  BOOST_TEST(world.Seen.at("b") == "2");
-  BOOST_TEST(world.Watches == 1);
-  world.Watcher->tick(bootNow() + milliseconds(100));
-  BOOST_TEST(world.Watches == 1);
+  fixture.Watched(late);
+  // The older response reverts nothing, and no further call follows.
+  BOOST_TEST(fixture.Seen.at("b") == "2");
+  BOOST_TEST(fixture.Watches == 1);
+  fixture.Watcher->tick(bootNow() + milliseconds(100));
+  BOOST_TEST(fixture.Watches == 1);
 }
 
-// Hundreds of hosts start together. Each would ask again and again for what it
-// has just listed, until the one that asks for all has begun to.
-BOOST_AUTO_TEST_CASE(what_was_just_listed_is_not_asked_for) {
+// Hundreds of hosts start at the same time. Each would repeatedly query the
+// store for what it has just listed, until the leader has begun to poll.
+BOOST_AUTO_TEST_CASE(a_fresh_list_is_not_followed_by_a_query) {
   ResourceWatcherSettings settings;
-  World world(false, settings, true);
-  BOOST_TEST(world.Watches == 0);
-  world.Watcher->tick(bootNow() + settings.WaitLimit);
-  BOOST_TEST(world.Watches == 0);
-  world.Watcher->tick(bootNow() +
-                      settings.WaitLimit * settings.SilentWaitLimits +
-                      milliseconds(1));
-  BOOST_TEST(world.Watches == 1);
-  BOOST_TEST(world.After == 10);
+  WatcherFixture fixture(false, settings, true);
+  BOOST_TEST(fixture.Watches == 0);
+  fixture.Watcher->tick(bootNow() + settings.WaitLimit);
+  BOOST_TEST(fixture.Watches == 0);
+  fixture.Watcher->tick(bootNow() +
+                        settings.WaitLimit * settings.SilentWaitLimits +
+                        milliseconds(1));
+  BOOST_TEST(fixture.Watches == 1);
+  BOOST_TEST(fixture.After == 10);
 }
 
-// One host asks the store for all zones, and each zone's own passes its news
-// on. Were only the first to do so, the other zones would hear of no change.
-BOOST_AUTO_TEST_CASE(news_is_passed_on) {
-  World world(false);
-  world.Watcher->receive(World::news(10, 12, {changed("b", "2", 12)}),
-                         bootNow());
-  BOOST_TEST(world.PassedOn.size() == 1);
-  BOOST_TEST(world.PassedOn.front().first == 10);
-  BOOST_TEST(world.PassedOn.front().second == 12);
-  // With a gap there is nothing whole to pass on.
-  world.Watcher->receive(World::news(20, 22, {}), bootNow());
-  BOOST_TEST(world.PassedOn.size() == 1);
+// One host queries the store for all zones, and each zone's aggregator relays
+// the changes. If only the first host relayed them, other zones would receive
+// none.
+BOOST_AUTO_TEST_CASE(received_changes_are_relayed) {
+  WatcherFixture fixture(false);
+  fixture.Watcher->receive(
+      WatcherFixture::relayed(10, 12, {changed("b", "2", 12)}), bootNow());
+  BOOST_TEST(fixture.Relayed.size() == 1);
+  BOOST_TEST(fixture.Relayed.front().first == 10);
+  BOOST_TEST(fixture.Relayed.front().second == 12);
+  // Changes after a gap are incomplete and are not relayed.
+  fixture.Watcher->receive(WatcherFixture::relayed(20, 22, {}), bootNow());
+  BOOST_TEST(fixture.Relayed.size() == 1);
 }
 
-// Two hosts of a zone take themselves for the one that passes news on. Each
-// sends the other what it has just heard from it, without end.
+// Two hosts of a zone both act as its aggregator. Each would relay to the other
+// the changes just received from it, endlessly.
 BOOST_AUTO_TEST_CASE(news_that_says_no_more_is_not_passed_on) {
-  World world(false);
-  const RelayedChanges first = World::news(10, 12, {changed("b", "2", 12)});
-  world.Watcher->receive(first, bootNow());
-  world.Watcher->receive(first, bootNow());
-  BOOST_TEST(world.PassedOn.size() == 1);
-  RelayedChanges unanswered = World::news(12, 12, {});
+  WatcherFixture fixture(false);
+  const RelayedChanges first =
+      WatcherFixture::relayed(10, 12, {changed("b", "2", 12)});
+  fixture.Watcher->receive(first, bootNow());
+  fixture.Watcher->receive(first, bootNow());
+  BOOST_TEST(fixture.Relayed.size() == 1);
+  RelayedChanges unanswered = WatcherFixture::relayed(12, 12, {});
   unanswered.Echo = 0;
-  world.Watcher->receive(unanswered, bootNow());
-  BOOST_TEST(world.PassedOn.size() == 1);
-  RelayedChanges younger = World::news(12, 12, {});
+  fixture.Watcher->receive(unanswered, bootNow());
+  BOOST_TEST(fixture.Relayed.size() == 1);
+  RelayedChanges younger = WatcherFixture::relayed(12, 12, {});
   younger.Age = Duration::zero();
-  world.Watcher->receive(younger, bootNow());
-  BOOST_TEST(world.PassedOn.size() == 2);
+  fixture.Watcher->receive(younger, bootNow());
+  BOOST_TEST(fixture.Relayed.size() == 2);
 }
 
-// The host that asked for all is gone. The next one begins with a watch that
-// waits as long as any, and all others ask by themselves before it returns.
-BOOST_AUTO_TEST_CASE(one_that_begins_to_ask_for_others_confirms_at_once) {
+// The leader has failed. If its successor's first watch had the usual wait
+// limit, all other hosts would query the store themselves before it returns.
+BOOST_AUTO_TEST_CASE(a_host_that_starts_polling_confirms_at_once) {
   ResourceWatcherSettings settings;
-  World world(false, settings);
-  world.Watcher->receive(World::news(10, 12, {}), bootNow());
-  world.Watched({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
-  BOOST_TEST(world.Watches == 1);
-  world.IsPolling = true;
-  world.Watcher->tick(bootNow() + milliseconds(100));
-  BOOST_TEST(world.Watches == 2);
-  BOOST_TEST((world.Waits == settings.FirstWaitLimit));
-  world.Watched({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
-  BOOST_TEST(world.Watches == 3);
-  BOOST_TEST((world.Waits == settings.WaitLimit));
+  WatcherFixture fixture(false, settings);
+  fixture.Watcher->receive(WatcherFixture::relayed(10, 12, {}), bootNow());
+  fixture.Watched({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
+  BOOST_TEST(fixture.Watches == 1);
+  fixture.IsPolling = true;
+  fixture.Watcher->tick(bootNow() + milliseconds(100));
+  BOOST_TEST(fixture.Watches == 2);
+  BOOST_TEST((fixture.LastWaitLimit == settings.FirstWaitLimit));
+  fixture.Watched({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
+  BOOST_TEST(fixture.Watches == 3);
+  BOOST_TEST((fixture.LastWaitLimit == settings.WaitLimit));
 }
 
-// The store has forgotten its history, so that the one that asks for all lists.
-// Were nothing passed on, each host would find a gap and list, too.
-BOOST_AUTO_TEST_CASE(what_a_new_list_shows_is_passed_on) {
-  World world(true);
-  world.Watched({{}, StoreFailure::HistoryGone});
-  world.Loop.run_for(milliseconds(20));
-  BOOST_TEST(world.Lists == 2);
-  world.Listed({ResourceListing{{{"b", "2", "", 30}}, 40}, {}});
-  BOOST_TEST(world.Seen.count("a") == 0);
-  BOOST_TEST(world.PassedOn.size() == 1);
-  BOOST_TEST(world.PassedOn.front().first == 10);
-  BOOST_TEST(world.PassedOn.front().second == 40);
-  BOOST_TEST(world.Changes == 2);
-  BOOST_TEST(world.After == 40);
+// The store has dropped its history, so the leader lists again. If the result
+// were not relayed, each host would detect a gap and list as well.
+BOOST_AUTO_TEST_CASE(changes_found_by_a_new_list_are_relayed) {
+  WatcherFixture fixture(true);
+  fixture.Watched({{}, StoreFailure::HistoryGone});
+  fixture.Loop.run_for(milliseconds(20));
+  BOOST_TEST(fixture.Lists == 2);
+  fixture.Listed({ResourceListing{{{"b", "2", "", 30}}, 40}, {}});
+  BOOST_TEST(fixture.Seen.count("a") == 0);
+  BOOST_TEST(fixture.Relayed.size() == 1);
+  BOOST_TEST(fixture.Relayed.front().first == 10);
+  BOOST_TEST(fixture.Relayed.front().second == 40);
+  BOOST_TEST(fixture.Changes == 2);
+  BOOST_TEST(fixture.After == 40);
 }
 
-// The store is away for seconds. Hundreds of hosts that hear nothing would each
-// try it several times a second.
-BOOST_AUTO_TEST_CASE(one_that_is_told_tries_a_store_that_is_away_rarely) {
+// The store is down for seconds. Hundreds of hosts that receive no changes
+// would each query it several times a second.
+BOOST_AUTO_TEST_CASE(
+    a_host_that_does_not_poll_rarely_queries_an_unreachable_store) {
   for (const bool probes : {true, false}) {
     ResourceWatcherSettings settings;
-    World world(false, settings);
-    world.IsProber = probes;
-    world.IsUnreached = true;
+    WatcherFixture fixture(false, settings);
+    fixture.IsProber = probes;
+    fixture.IsUnreached = true;
     const Instant failedAt = bootNow();
     const Duration rest = settings.WaitLimit * settings.SilentWaitLimits;
-    world.Watched({{}, StoreFailure::Unavailable});
-    world.Watcher->tick(failedAt + rest - milliseconds(100));
-    BOOST_TEST(world.Watches == 1);
-    world.Watcher->tick(failedAt + rest + milliseconds(100));
-    BOOST_TEST(world.Watches == (probes ? 2 : 1));
+    fixture.Watched({{}, StoreFailure::Unavailable});
+    fixture.Watcher->tick(failedAt + rest - milliseconds(100));
+    BOOST_TEST(fixture.Watches == 1);
+    fixture.Watcher->tick(failedAt + rest + milliseconds(100));
+    BOOST_TEST(fixture.Watches == (probes ? 2 : 1));
     if (probes)
       continue;
-    // Another view has reached it again.
-    world.IsUnreached = false;
-    world.Watcher->tick(failedAt + rest + milliseconds(200));
-    BOOST_TEST(world.Watches == 2);
+    // Another watcher has reached the store again.
+    fixture.IsUnreached = false;
+    fixture.Watcher->tick(failedAt + rest + milliseconds(200));
+    BOOST_TEST(fixture.Watches == 2);
   }
 }
 
-// A write of this host failed while it was told of all changes. It would count
-// as cut off for good.
-BOOST_AUTO_TEST_CASE(one_that_did_not_reach_the_store_finds_out_that_it_does) {
-  World world(false);
-  world.Watcher->receive(World::news(10, 12, {}), bootNow());
-  world.Watched({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
-  world.IsUnreached = true;
+// A write of this host failed while it was receiving relayed changes. Without a
+// probe it would be considered cut off from the store forever.
+BOOST_AUTO_TEST_CASE(a_host_cut_off_from_the_store_detects_its_recovery) {
+  WatcherFixture fixture(false);
+  fixture.Watcher->receive(WatcherFixture::relayed(10, 12, {}), bootNow());
+  fixture.Watched({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
+  fixture.IsUnreached = true;
   const Instant later = bootNow() + milliseconds(1900);
-  world.Watcher->receive(World::news(12, 13, {}), later);
-  world.Watcher->tick(later);
-  BOOST_TEST(world.Watches == 1);
-  world.Watcher->tick(later + milliseconds(200));
-  BOOST_TEST(world.Watches == 2);
+  fixture.Watcher->receive(WatcherFixture::relayed(12, 13, {}), later);
+  fixture.Watcher->tick(later);
+  BOOST_TEST(fixture.Watches == 1);
+  fixture.Watcher->tick(later + milliseconds(200));
+  BOOST_TEST(fixture.Watches == 2);
 }
 
-// The host that passes news on dies, and says nothing. A replica that leaves
-// would go on getting calls for as long as this host waits.
-BOOST_AUTO_TEST_CASE(silence_of_the_reporter_makes_it_ask_again) {
-  World world(false);
-  world.Watcher->receive(World::news(10, 12, {}), bootNow());
-  world.Watched({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
-  BOOST_TEST(world.Watches == 1);
-  world.Watcher->tick(bootNow() + seconds(3));
-  BOOST_TEST(world.Watches == 2);
-  BOOST_TEST(world.After == 12);
+// The relaying host crashes. A replica that leaves would continue to get calls
+// for as long as this host waits.
+BOOST_AUTO_TEST_CASE(silence_of_the_reporter_leads_to_a_query) {
+  WatcherFixture fixture(false);
+  fixture.Watcher->receive(WatcherFixture::relayed(10, 12, {}), bootNow());
+  fixture.Watched({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
+  BOOST_TEST(fixture.Watches == 1);
+  fixture.Watcher->tick(bootNow() + seconds(3));
+  BOOST_TEST(fixture.Watches == 2);
+  BOOST_TEST(fixture.After == 12);
 }
 
-// News was held up in a link for seconds. It says what the store held then; as
-// proof that a key still counts today it would be false.
-BOOST_AUTO_TEST_CASE(news_confirms_no_more_than_its_echo_allows) {
-  World world(false);
+// Relayed changes were delayed in a link for seconds. They describe the store
+// at an earlier time and must not confirm that a key is still valid.
+BOOST_AUTO_TEST_CASE(relayed_changes_confirm_no_more_than_their_echo_allows) {
+  WatcherFixture fixture(false);
   const Instant before = bootNow();
-  world.Watcher->receive(World::news(10, 12, {}, seconds(20)), bootNow());
-  BOOST_TEST((world.Confirmed <= before + milliseconds(100)));
-  world.Watched({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
-  const Instant own = world.Confirmed;
-  world.Watcher->receive(World::news(12, 14, {}, seconds(20)), bootNow());
-  BOOST_TEST((world.Confirmed == own));
+  fixture.Watcher->receive(WatcherFixture::relayed(10, 12, {}, seconds(20)),
+                           bootNow());
+  BOOST_TEST((fixture.Confirmed <= before + milliseconds(100)));
+  fixture.Watched({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
+  const Instant own = fixture.Confirmed;
+  fixture.Watcher->receive(WatcherFixture::relayed(12, 14, {}, seconds(20)),
+                           bootNow());
+  BOOST_TEST((fixture.Confirmed == own));
 }
 
-BOOST_AUTO_TEST_CASE(a_gap_in_the_news_is_asked_for) {
-  World world(false);
-  world.Watcher->receive(World::news(10, 12, {}), bootNow());
-  world.Watched({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
-  BOOST_TEST(world.Watches == 1);
-  world.Watcher->receive(World::news(20, 22, {changed("c", "3", 22)}),
-                         bootNow());
-  BOOST_TEST(world.Seen.count("c") == 0);
-  BOOST_TEST(world.Watches == 2);
-  BOOST_TEST(world.After == 12);
+BOOST_AUTO_TEST_CASE(a_gap_in_relayed_changes_leads_to_a_query) {
+  WatcherFixture fixture(false);
+  fixture.Watcher->receive(WatcherFixture::relayed(10, 12, {}), bootNow());
+  fixture.Watched({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
+  BOOST_TEST(fixture.Watches == 1);
+  fixture.Watcher->receive(
+      WatcherFixture::relayed(20, 22, {changed("c", "3", 22)}), bootNow());
+  BOOST_TEST(fixture.Seen.count("c") == 0);
+  BOOST_TEST(fixture.Watches == 2);
+  BOOST_TEST(fixture.After == 12);
 }
 
-// A host was told of changes for a long time and then has to ask by itself. It
-// took the time in between for an outage of the store, after which entries may
-// be missing that come back, and went on to send calls to a replica that had
-// left.
-BOOST_AUTO_TEST_CASE(being_told_is_no_outage) {
+// A host received relayed changes for a long time and then has to query the
+// store itself. It took the time in between for an outage of the store,
+// deferred removals, and continued to send calls to a replica that had left.
+BOOST_AUTO_TEST_CASE(receiving_relayed_changes_is_no_outage) {
   ResourceWatcherSettings settings;
   settings.WaitLimit = milliseconds(200);
   settings.OutageAfter = milliseconds(300);
   settings.SilentWaitLimits = 100;
   settings.StaleWaitLimits = 100;
-  World world(false, settings);
-  world.Watcher->receive(World::news(10, 12, {}), bootNow());
-  world.Watched({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
+  WatcherFixture fixture(false, settings);
+  fixture.Watcher->receive(WatcherFixture::relayed(10, 12, {}), bootNow());
+  fixture.Watched({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
   for (std::uint64_t n = 12; n < 18; ++n) {
     std::this_thread::sleep_for(milliseconds(100));
-    world.Watcher->receive(World::news(n, n + 1, {}), bootNow());
+    fixture.Watcher->receive(WatcherFixture::relayed(n, n + 1, {}), bootNow());
   }
-  RelayedChanges large = World::news(18, 20, {});
+  RelayedChanges large = WatcherFixture::relayed(18, 20, {});
   large.IsTruncated = true;
-  world.Watcher->receive(large, bootNow());
-  BOOST_TEST(world.Watches == 2);
-  world.Watched({ResourceChanges{{removed("a", 19)}, 20}, {}});
-  BOOST_TEST(world.Seen.count("a") == 0);
+  fixture.Watcher->receive(large, bootNow());
+  BOOST_TEST(fixture.Watches == 2);
+  fixture.Watched({ResourceChanges{{removed("a", 19)}, 20}, {}});
+  BOOST_TEST(fixture.Seen.count("a") == 0);
 }
 
-// A replica's entry was removed and is there again; the reporter is behind and
-// passes the removal on. The replica would get nothing more.
-BOOST_AUTO_TEST_CASE(an_old_removal_undoes_nothing) {
-  World world(false);
-  world.Watcher->receive(World::news(10, 20, {changed("a", "again", 18)}),
-                         bootNow());
-  world.Watcher->receive(
-      World::news(10, 21, {removed("a", 14), changed("a", "again", 18)}),
+// A replica's entry was removed and created again; a reporter that lags behind
+// relays the removal. The replica would get no more calls.
+BOOST_AUTO_TEST_CASE(an_old_removal_reverts_nothing) {
+  WatcherFixture fixture(false);
+  fixture.Watcher->receive(
+      WatcherFixture::relayed(10, 20, {changed("a", "again", 18)}), bootNow());
+  fixture.Watcher->receive(
+      WatcherFixture::relayed(10, 21,
+                              {removed("a", 14), changed("a", "again", 18)}),
       bootNow());
-  BOOST_TEST(world.Seen.at("a") == "again");
-  world.Watcher->receive(World::news(21, 23, {removed("a", 18)}), bootNow());
-  BOOST_TEST(world.Seen.count("a") == 0);
+  BOOST_TEST(fixture.Seen.at("a") == "again");
+  fixture.Watcher->receive(WatcherFixture::relayed(21, 23, {removed("a", 18)}),
+                           bootNow());
+  BOOST_TEST(fixture.Seen.count("a") == 0);
 }
 
-// Ninety replicas are replaced one after the other. Each of them would end a
+// Ninety replicas are replaced one after another. Each change would end a
 // watch, and the calls to the store would cost more than the replicas.
-BOOST_AUTO_TEST_CASE(what_changes_together_is_asked_for_together) {
+BOOST_AUTO_TEST_CASE(changes_made_together_are_queried_together) {
   ResourceWatcherSettings settings;
   settings.BatchDelay = milliseconds(20);
-  World world(true, settings);
-  world.Watched({ResourceChanges{{changed("b", "1", 12)}, 12}, {}});
-  BOOST_TEST(world.Watches == 1);
-  world.Loop.run();
-  BOOST_TEST(world.Watches == 2);
-  BOOST_TEST(world.After == 12);
-  // Nothing has changed: there is nothing to wait for.
-  world.Watched({ResourceChanges{{}, 13}, {}});
-  BOOST_TEST(world.Watches == 3);
+  WatcherFixture fixture(true, settings);
+  fixture.Watched({ResourceChanges{{changed("b", "1", 12)}, 12}, {}});
+  BOOST_TEST(fixture.Watches == 1);
+  fixture.Loop.run();
+  BOOST_TEST(fixture.Watches == 2);
+  BOOST_TEST(fixture.After == 12);
+  // Without changes the next watch is not delayed.
+  fixture.Watched({ResourceChanges{{}, 13}, {}});
+  BOOST_TEST(fixture.Watches == 3);
 }
 
-BOOST_AUTO_TEST_CASE(the_host_that_aggregates_asks_all_the_time) {
-  World world(true);
+BOOST_AUTO_TEST_CASE(a_polling_host_queries_continuously) {
+  WatcherFixture fixture(true);
   for (int n = 0; n < 3; ++n) {
-    world.Watcher->receive(World::news(10, 12, {}), bootNow());
-    world.Watched({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
+    fixture.Watcher->receive(WatcherFixture::relayed(10, 12, {}), bootNow());
+    fixture.Watched({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
   }
-  BOOST_TEST(world.Watches == 4);
+  BOOST_TEST(fixture.Watches == 4);
 }
 
-// The store is away and refuses each call at once. A hundred hosts that ask on
-// at the same pace send it hundreds of calls a second, each of which is paid
-// for, and meet it with all of them when it is back.
-BOOST_AUTO_TEST_CASE(an_outage_is_asked_about_less_and_less) {
+// The store is down and rejects each call at once. A hundred hosts that retry
+// at a constant rate would send it hundreds of calls a second, each of them
+// billed, and would overload it when it recovers.
+BOOST_AUTO_TEST_CASE(the_retry_delay_grows_during_an_outage) {
   boost::asio::io_context loop;
   int calls = 0;
   ResourceStore store;
