--- a/Libraries/LibOperator/ActiveBundle.cpp
+++ b/Libraries/LibOperator/ActiveBundle.cpp
@@ -22,23 +22,23 @@
     return BundleOffer::NotNewer;
   Bundle bundle = verifyBundle(decodeSignedBundle(mark.Signed), AcceptedKeys);
   if (bundle.Generation != mark.Generation)
-    throw BundleMalformed("a peer named another generation than the bundle's");
+    throw BundleMalformed("the mark's generation differs from the bundle's");
   return adoptIfNewer(std::move(bundle), mark.Signed);
 }
 
 BundleOffer ActiveBundle::adoptIfNewer(Bundle bundle,
                                        const std::string &signedBytes) {
-  const std::uint64_t before = generation();
-  // Of two that were signed under one generation all daemons must choose the
-  // same one, whatever the order in which they come; see BundleMark.
-  const bool isNewer = bundle.Generation > before ||
-                       (bundle.Generation == before && signedBytes > Bytes);
+  const std::uint64_t previous = generation();
+  // Of two bundles with the same generation, all daemons must choose the same
+  // one regardless of the order of arrival; see BundleMark.
+  const bool isNewer = bundle.Generation > previous ||
+                       (bundle.Generation == previous && signedBytes > Bytes);
   if (!isNewer)
     return BundleOffer::NotNewer;
   Current = std::make_shared<const Bundle>(std::move(bundle));
   Bytes = signedBytes;
-  verifyInvariant(generation() >= before, "bundle-never-reverts",
-                  "a daemon went back to an older bundle");
+  verifyInvariant(generation() >= previous, "bundle-never-reverts",
+                  "a daemon adopted an older bundle");
   return BundleOffer::Adopted;
 }
 
--- a/Libraries/LibOperator/ActiveBundle.h
+++ b/Libraries/LibOperator/ActiveBundle.h
@@ -8,31 +8,32 @@
 
 namespace sorrelbay {
 
-/// What became of a bundle that was offered.
+/// The result of offering a bundle.
 enum class BundleOffer { Adopted, NotNewer };
 
-/// The one bundle that a daemon acts by. Whoever offers one, the object API or
-/// a peer, it comes into force only if an accepted key signed it and it is
-/// newer. Not thread-safe.
+/// The bundle in force in a daemon. A bundle offered by the object API or a
+/// peer comes into force only if it is signed by an accepted key and newer than
+/// the current one. Not thread-safe.
 class ActiveBundle {
 public:
   explicit ActiveBundle(std::vector<PublicKey> acceptedKeys);
 
-  /// Takes the bytes of a signed bundle. Throws a kind of BundleRefused.
+  /// Offers the bytes of a signed bundle. Throws a subclass of BundleRefused.
   BundleOffer offer(const std::string &signedBytes);
 
-  /// Takes what a peer sent. Throws BundleMalformed also if the mark names
-  /// another generation than the bundle's own: an old bundle would pass for a
-  /// new one wherever only the mark is looked at.
+  /// Offers a bundle sent by a peer. Throws a subclass of BundleRefused, and
+  /// BundleMalformed if the mark's generation differs from the bundle's own:
+  /// where only the mark is compared, an old bundle would be taken for a new
+  /// one.
   BundleOffer offer(const BundleMark &mark);
 
-  /// Null until the first one is adopted.
+  /// The bundle in force; null until the first one is adopted.
   std::shared_ptr<const Bundle> current() const { return Current; }
   /// 0 until the first one is adopted.
   std::uint64_t generation() const;
-  /// The bytes as they were offered; empty until the first one is adopted.
+  /// The bytes of the bundle as offered; empty until the first one is adopted.
   const std::string &signedBytes() const { return Bytes; }
-  /// What is sent to peers.
+  /// The mark to send to peers.
   BundleMark mark() const { return {generation(), Bytes}; }
 
 private:
--- a/Libraries/LibOperator/BundleCodec.cpp
+++ b/Libraries/LibOperator/BundleCodec.cpp
@@ -17,8 +17,8 @@
   return policy == DeadlinePolicy::InTime ? "in_time" : "safe";
 }
 
-/// Anything but the two names gives the other value, which then encodes to
-/// other bytes and is refused there.
+/// Unknown names are mapped to a value that encodes to different bytes, so that
+/// decodeBundle rejects them.
 UpstreamKind kindOf(const std::string &name) {
   return name == "desk" ? UpstreamKind::Desk : UpstreamKind::Engine;
 }
@@ -70,7 +70,7 @@
   return Id(from.at(key).get<std::string>());
 }
 
-Duration spanAt(const json &from, const char *key) {
+Duration durationAt(const json &from, const char *key) {
   return Duration(from.at(key).get<std::int64_t>());
 }
 
@@ -84,7 +84,7 @@
   version.Id = idAt<VersionId>(from, "id");
   version.Service = idAt<ServiceId>(from, "service");
   version.Share = from.at("share").get<double>();
-  version.Deadline = Instant(spanAt(from, "deadline_us"));
+  version.Deadline = Instant(durationAt(from, "deadline_us"));
   version.Adapters = from.at("adapters").get<std::vector<std::string>>();
 }
 
@@ -93,8 +93,8 @@
   route.Service = idAt<ServiceId>(from, "service");
   route.Repeatable = from.at("repeatable").get<bool>();
   route.Priority = from.at("priority").get<int>();
-  route.LatencyTarget = spanAt(from, "latency_target_us");
-  route.TokenTarget = spanAt(from, "token_target_us");
+  route.LatencyTarget = durationAt(from, "latency_target_us");
+  route.TokenTarget = durationAt(from, "token_target_us");
 }
 
 void fromJson(const json &from, Team &team) {
@@ -143,7 +143,7 @@
 Bundle decodeBundle(const std::string &bytes) {
   if (bytes.size() > MaxBundleBytes)
     throw BundleTooLarge("the bundle has " + std::to_string(bytes.size()) +
-                         " bytes, more than are taken");
+                         " bytes, more than the maximum size");
   Bundle bundle;
   try {
     bundle = bundleOf(json::from_cbor(bytes));
@@ -151,8 +151,8 @@
     throw BundleMalformed(std::string("the bundle can't be decoded: ") +
                           error.what());
   }
-  // Two byte strings for one bundle would be two bundles to whoever compares
-  // bytes, and an unknown key would be dropped unseen.
+  // Bundles are compared by their bytes, so each must have a single encoding.
+  // This also detects unknown keys, which would otherwise be ignored.
   if (encodeBundle(bundle) != bytes)
     throw BundleMalformed("the bundle is not in its canonical form");
   return bundle;
--- a/Libraries/LibOperator/BundleCodec.h
+++ b/Libraries/LibOperator/BundleCodec.h
@@ -6,16 +6,16 @@
 
 namespace sorrelbay {
 
-/// The largest signed bundle, in bytes. Half of what the object API takes, so
-/// that it also fits a peer's message with room to spare.
+/// The maximum size of a signed bundle, in bytes. Half of what the object API
+/// accepts, so that a bundle also fits into a message between peers.
 constexpr std::size_t MaxBundleBytes = std::size_t{512} * 1024;
 
-/// The bundle as CBOR. Equal bundles give equal bytes, whichever host encodes
-/// them: keys are sorted and numbers take their shortest form.
+/// Encodes the bundle as CBOR. Equal bundles give equal bytes on every host:
+/// keys are sorted and numbers have their shortest form.
 std::string encodeBundle(const Bundle &bundle);
 
-/// The inverse. Throws BundleMalformed on bytes that encodeBundle would not
-/// have written, and BundleTooLarge.
+/// Decodes a bundle. Throws BundleMalformed for bytes that encodeBundle would
+/// not produce, and BundleTooLarge for more than MaxBundleBytes.
 Bundle decodeBundle(const std::string &bytes);
 
 } // namespace sorrelbay
--- a/Libraries/LibOperator/BundleFailures.h
+++ b/Libraries/LibOperator/BundleFailures.h
@@ -4,37 +4,38 @@
 
 namespace sorrelbay {
 
-/// A bundle that must not come into force. The kinds below say why.
+/// A bundle is rejected and must not come into force. The subclasses name the
+/// cause.
 class BundleRefused : public Error {
 public:
   using Error::Error;
 };
 
-/// It carries no signature.
+/// The bundle has no signature.
 class BundleUnsigned : public BundleRefused {
 public:
   using BundleRefused::BundleRefused;
 };
 
-/// It is signed with a key that the settings do not accept.
+/// The bundle is signed with a key that is not among the accepted keys.
 class BundleKeyUnknown : public BundleRefused {
 public:
   using BundleRefused::BundleRefused;
 };
 
-/// Its signature does not match its bytes.
+/// The signature does not match the bundle's bytes.
 class BundleSignatureWrong : public BundleRefused {
 public:
   using BundleRefused::BundleRefused;
 };
 
-/// It is larger than MaxBundleBytes.
+/// The bundle is larger than MaxBundleBytes.
 class BundleTooLarge : public BundleRefused {
 public:
   using BundleRefused::BundleRefused;
 };
 
-/// Its bytes are not the canonical CBOR of a bundle.
+/// The bytes are not the canonical CBOR encoding of a bundle.
 class BundleMalformed : public BundleRefused {
 public:
   using BundleRefused::BundleRefused;
--- a/Libraries/LibOperator/BundleFile.cpp
+++ b/Libraries/LibOperator/BundleFile.cpp
@@ -9,16 +9,16 @@
 
 namespace {
 
-constexpr std::int64_t LongestMove = std::int64_t{366} * 24 * 3600;
-constexpr std::int64_t LongestTargetMs = std::int64_t{3600} * 1000;
-constexpr int HighestPriority = 100;
-constexpr int HighestWeight = 1000;
-constexpr std::size_t LongestId = 100;
+constexpr std::int64_t MaxDeadlineSeconds = std::int64_t{366} * 24 * 3600;
+constexpr std::int64_t MaxTargetMs = std::int64_t{3600} * 1000;
+constexpr int MaxPriority = 100;
+constexpr int MaxWeight = 1000;
+constexpr std::size_t MaxIdLength = 100;
 constexpr double ShareTolerance = 1e-6;
 
-/// The tables of the file, kept open so that faults which only show between
-/// tables are reported at their lines.
-struct OpenTables {
+/// The tables of the file, kept so that errors found by comparing tables are
+/// reported with their lines.
+struct BundleTables {
   std::vector<TomlReader> Services;
   std::vector<TomlReader> Versions;
   std::vector<TomlReader> Routes;
@@ -30,13 +30,13 @@
          (c >= '0' && c <= '9') || c == '-' || c == '_' || c == '.';
 }
 
-/// Ids become parts of object names, metric labels and headers, hence the
-/// narrow set of characters.
+/// Reads an id. Ids become parts of object names, metric labels and headers,
+/// which limits their characters.
 std::string readId(TomlReader &reader, const char *key) {
   std::string id = reader.requiredText(key);
   if (!reader.has(key))
     return id;
-  if (id.empty() || id.size() > LongestId ||
+  if (id.empty() || id.size() > MaxIdLength ||
       !std::all_of(id.begin(), id.end(), isIdCharacter))
     reader.addFault(key, "must be 1 to 100 letters, digits, '-', '_' or '.'");
   return id;
@@ -56,19 +56,20 @@
   return policy == "in_time" ? DeadlinePolicy::InTime : DeadlinePolicy::Safe;
 }
 
-Instant readDeadline(TomlReader &reader, Instant at) {
+Instant readDeadline(TomlReader &reader, Instant referenceTime) {
   if (reader.has("deadline") && reader.has("deadline_in_s"))
-    reader.addFault("deadline_in_s", "clashes with deadline");
-  const std::int64_t in = reader.integer("deadline_in_s", 0, 1, LongestMove);
+    reader.addFault("deadline_in_s", "can't be combined with deadline");
+  const std::int64_t in =
+      reader.integer("deadline_in_s", 0, 1, MaxDeadlineSeconds);
   const std::string text = reader.text("deadline", "");
   if (in > 0)
-    return at + seconds(in);
+    return referenceTime + seconds(in);
   if (!reader.has("deadline"))
     return {};
   const std::optional<Instant> deadline = parseRfc3339(text);
   if (!deadline)
-    reader.addFault("deadline", "must be a string in RFC 3339 with an offset");
-  return deadline.value_or(at);
+    reader.addFault("deadline", "must be an RFC 3339 time with a UTC offset");
+  return deadline.value_or(referenceTime);
 }
 
 Service readService(TomlReader &reader) {
@@ -79,12 +80,12 @@
   return service;
 }
 
-UpstreamVersion readVersion(TomlReader &reader, Instant at) {
+UpstreamVersion readVersion(TomlReader &reader, Instant referenceTime) {
   UpstreamVersion version;
   version.Id = VersionId(readId(reader, "id"));
   version.Service = ServiceId(readId(reader, "service"));
   version.Share = reader.number("share", 1, 0, 1);
-  version.Deadline = readDeadline(reader, at);
+  version.Deadline = readDeadline(reader, referenceTime);
   version.Adapters = reader.texts("adapters");
   return version;
 }
@@ -95,18 +96,18 @@
   route.Service = ServiceId(readId(reader, "service"));
   route.Repeatable = reader.boolean("repeatable", true);
   route.Priority =
-      static_cast<int>(reader.integer("priority", 0, 0, HighestPriority));
-  route.LatencyTarget = milliseconds(
-      reader.requiredInteger("latency_target_ms", 1, LongestTargetMs));
+      static_cast<int>(reader.integer("priority", 0, 0, MaxPriority));
+  route.LatencyTarget =
+      milliseconds(reader.requiredInteger("latency_target_ms", 1, MaxTargetMs));
   route.TokenTarget =
-      milliseconds(reader.integer("token_target_ms", 0, 0, LongestTargetMs));
+      milliseconds(reader.integer("token_target_ms", 0, 0, MaxTargetMs));
   return route;
 }
 
 Team readTeam(TomlReader &reader) {
   Team team;
   team.Id = TeamId(readId(reader, "id"));
-  team.Weight = static_cast<int>(reader.integer("weight", 1, 1, HighestWeight));
+  team.Weight = static_cast<int>(reader.integer("weight", 1, 1, MaxWeight));
   return team;
 }
 
@@ -123,40 +124,41 @@
   for (std::size_t n = 0; n < entries.size(); ++n)
     for (std::size_t earlier = 0; earlier < n; ++earlier)
       if (entries[earlier].Id == entries[n].Id && !entries[n].Id.empty()) {
-        tables[n].addFault("id", "is used twice");
+        tables[n].addFault("id", "is already in use");
         break;
       }
 }
 
-void checkVersions(const Bundle &bundle, OpenTables &tables) {
+void checkVersions(const Bundle &bundle, BundleTables &tables) {
   for (std::size_t n = 0; n < bundle.Versions.size(); ++n)
     if (findService(bundle, bundle.Versions[n].Service) == nullptr)
-      tables.Versions[n].addFault("service", "names no service of this bundle");
+      tables.Versions[n].addFault("service", "is not a service of this bundle");
 }
 
-void checkRoutes(const Bundle &bundle, OpenTables &tables) {
+void checkRoutes(const Bundle &bundle, BundleTables &tables) {
   for (std::size_t n = 0; n < bundle.Routes.size(); ++n) {
     const Route &route = bundle.Routes[n];
     TomlReader &table = tables.Routes[n];
     const Service *service = findService(bundle, route.Service);
     if (service == nullptr) {
-      table.addFault("service", "names no service of this bundle");
+      table.addFault("service", "is not a service of this bundle");
       continue;
     }
-    // The text, since a misspelt kind is a fault of its own and no ground for
-    // these.
+    // Compares the kind's text, since a misspelt kind is reported separately
+    // and must not cause further errors.
     const auto index = service - bundle.Services.data();
     const std::string kind = tables.Services[index].text("kind", "");
     if (!route.Repeatable && kind == "engine")
-      table.addFault("repeatable", "may be false only for a desk's route");
+      table.addFault("repeatable", "may be false only for a route to a desk");
     if (route.TokenTarget.count() != 0 && kind == "desk")
-      table.addFault("token_target_ms", "is only for an engine's route");
+      table.addFault("token_target_ms",
+                     "may be set only for a route to an engine");
   }
 }
 
-/// The shares of a service must add up, and all its versions but one need a
-/// deadline: without it no pace could be planned for the move.
-void checkMoves(const Bundle &bundle, OpenTables &tables) {
+/// Checks that the shares of a service's versions add up to 1 and that at most
+/// one version has no deadline: the pace of a rollout depends on its deadline.
+void checkRollouts(const Bundle &bundle, BundleTables &tables) {
   for (std::size_t n = 0; n < bundle.Services.size(); ++n) {
     double sum = 0;
     int count = 0;
@@ -169,8 +171,8 @@
       ++count;
       if (version.Deadline == Instant() && ++withoutDeadline > 1)
         tables.Versions[v].addFault(
-            "deadline", "is missing; only one version of a service may have "
-                        "none");
+            "deadline", "is missing; only one version of a service may "
+                        "omit it");
     }
     if (count == 0)
       tables.Services[n].addFault("id", "has no version in this bundle");
@@ -181,37 +183,37 @@
   }
 }
 
-void checkAcrossTables(const Bundle &bundle, OpenTables &tables) {
+void checkAcrossTables(const Bundle &bundle, BundleTables &tables) {
   checkUnique(bundle.Services, tables.Services);
   checkUnique(bundle.Versions, tables.Versions);
   checkUnique(bundle.Routes, tables.Routes);
   checkUnique(bundle.Teams, tables.Teams);
   checkVersions(bundle, tables);
   checkRoutes(bundle, tables);
-  checkMoves(bundle, tables);
+  checkRollouts(bundle, tables);
 }
 
 } // namespace
 
 Bundle parseBundle(const std::string &text, const std::string &file,
-                   Instant at) {
+                   Instant referenceTime) {
   TomlReader root = TomlReader::parse(text, file);
   Bundle bundle;
   bundle.Generation = static_cast<std::uint64_t>(
       root.requiredInteger("generation", 1, MaxGeneration));
-  OpenTables tables{root.tables("service"), root.tables("version"),
-                    root.tables("route"), root.tables("team")};
+  BundleTables tables{root.tables("service"), root.tables("version"),
+                      root.tables("route"), root.tables("team")};
   for (TomlReader &it : tables.Services)
     bundle.Services.push_back(readService(it));
   for (TomlReader &it : tables.Versions)
-    bundle.Versions.push_back(readVersion(it, at));
+    bundle.Versions.push_back(readVersion(it, referenceTime));
   for (TomlReader &it : tables.Routes)
     bundle.Routes.push_back(readRoute(it));
   for (TomlReader &it : tables.Teams)
     bundle.Teams.push_back(readTeam(it));
   bundle.Cost = readCost(root.table("cost"));
   if (bundle.Services.empty())
-    root.addFault("service", "is missing; a bundle names at least one");
+    root.addFault("service", "is missing; a bundle must have at least one");
   checkAcrossTables(bundle, tables);
   root.finish();
   return bundle;
--- a/Libraries/LibOperator/BundleFile.h
+++ b/Libraries/LibOperator/BundleFile.h
@@ -6,15 +6,15 @@
 
 namespace sorrelbay {
 
-/// Reads a bundle from the TOML that operators write; bundle(5) lists the
-/// keys. A `deadline_in_s` counts from the given time. Throws TomlError with
-/// every fault in the file: one that is found only after the roll would stop
-/// calls that worked before it.
+/// Parses a bundle from the operators' TOML format; bundle(5) lists the keys.
+/// `deadline_in_s` counts from the reference time. Throws TomlError with all
+/// errors of the file: an error found only after the bundle has been rolled
+/// would break calls that worked before.
 Bundle parseBundle(const std::string &text, const std::string &file,
-                   Instant at = now());
+                   Instant referenceTime = now());
 
-/// The highest generation a bundle may have; what CBOR and JSON readers of
-/// other languages hold exactly.
+/// The highest generation of a bundle: the largest integer that CBOR and JSON
+/// parsers of other languages represent exactly.
 constexpr std::int64_t MaxGeneration = (std::int64_t{1} << 53) - 1;
 
 } // namespace sorrelbay
--- a/Libraries/LibOperator/BundleRoll.cpp
+++ b/Libraries/LibOperator/BundleRoll.cpp
@@ -4,15 +4,16 @@
 
 namespace {
 
-constexpr int MaxTries = 3;
+constexpr int MaxAttempts = 3;
 
-std::string describe(const std::string &why, const BundleOrigin &current) {
-  return why + ": generation " + std::to_string(current.Generation) +
+std::string describe(const std::string &reason, const BundleOrigin &current) {
+  return reason + ": generation " + std::to_string(current.Generation) +
          " signed by key " + current.SignedBy.text() + " is current";
 }
 
-/// Bytes that are no bundle are passed over: no daemon puts them into force,
-/// and if they blocked the roll nothing could replace them.
+/// Decodes the current bundle. An object that is not a bundle is ignored: no
+/// daemon puts it into force, and if it blocked a roll it could never be
+/// replaced.
 std::optional<CurrentBundle>
 currentOf(const std::optional<StoredObject> &object) {
   if (!object)
@@ -32,8 +33,8 @@
   return {current->Content.Generation, current->SignedBy};
 }
 
-/// One conditional update that is tried until its outcome is known. Each try
-/// is the same update, so that at most one of them takes effect.
+/// A conditional update that is attempted until its outcome is known. All
+/// attempts send the same update, so that at most one takes effect.
 class BundleWrite {
 public:
   BundleWrite(const ObjectApi &api, std::string body,
@@ -41,13 +42,14 @@
       : Api(api), Body(std::move(body)),
         Expected(before ? before->Version : AbsentVersion) {}
 
-  /// True if the update took effect, false if that is not known yet. Throws
-  /// RollConflict, and ObjectApiUnavailable as long as it can't have.
+  /// Returns true if the update took effect and false if that is unknown.
+  /// Throws RollConflict, and ObjectApiUnavailable if no attempt can have taken
+  /// effect.
   bool attempt() {
     try {
       return write() || readBack();
     } catch (const ObjectApiUnavailable &) {
-      if (!IsInDoubt)
+      if (!MayHaveTakenEffect)
         throw;
       return false;
     }
@@ -59,11 +61,11 @@
       Api.Write(CurrentBundleObject, Body, Expected);
       return true;
     } catch (const WriteOutcomeUnknown &) {
-      IsInDoubt = true;
+      MayHaveTakenEffect = true;
     } catch (const VersionConflict &) {
-      // Either another operator won, or an earlier try of ours whose reply was
-      // lost took effect after all. Reading back tells which.
-      IsInDoubt = true;
+      // Either another operator's update was first, or an earlier attempt whose
+      // reply was lost took effect. Reading back determines which.
+      MayHaveTakenEffect = true;
     }
     return false;
   }
@@ -73,21 +75,22 @@
     if (after && after->Body == Body)
       return true;
     if (after && after->Version != Expected)
-      throw RollConflict("the bundle was not rolled, or was replaced at once",
-                         originOf(after));
+      throw RollConflict(
+          "the bundle was not rolled, or was replaced immediately",
+          originOf(after));
     return false;
   }
 
   const ObjectApi &Api;
   std::string Body;
   std::uint64_t Expected;
-  bool IsInDoubt = false;
+  bool MayHaveTakenEffect = false;
 };
 
 } // namespace
 
-RollRefused::RollRefused(const std::string &why, BundleOrigin current)
-    : Error(describe(why, current)), Current(std::move(current)) {}
+RollRefused::RollRefused(const std::string &reason, BundleOrigin current)
+    : Error(describe(reason, current)), Current(std::move(current)) {}
 
 std::optional<CurrentBundle> readCurrentBundle(const ObjectApi &api) {
   return currentOf(api.Read(CurrentBundleObject));
@@ -101,10 +104,11 @@
     return {generation, true};
   const BundleOrigin origin = originOf(before);
   if (origin.Generation >= generation)
-    throw RollOutdated(
-        "generation " + std::to_string(generation) + " is not newer", origin);
+    throw RollOutdated("generation " + std::to_string(generation) +
+                           " is not newer than the current one",
+                       origin);
   BundleWrite write(api, body, before);
-  for (int n = 0; n < MaxTries; ++n)
+  for (int n = 0; n < MaxAttempts; ++n)
     if (write.attempt())
       return {generation, false};
   throw WriteOutcomeUnknown("generation " + std::to_string(generation) +
--- a/Libraries/LibOperator/BundleRoll.h
+++ b/Libraries/LibOperator/BundleRoll.h
@@ -6,56 +6,56 @@
 
 namespace sorrelbay {
 
-/// Which bundle is current and whose it is, for a person who asks.
+/// The generation and the signing key of a bundle, for messages to operators.
 struct BundleOrigin {
   std::uint64_t Generation = 0;
   KeyId SignedBy;
 };
 
-/// A roll that did not come into force because another bundle is current.
+/// A bundle was not rolled because another bundle is current.
 class RollRefused : public Error {
 public:
-  RollRefused(const std::string &why, BundleOrigin current);
+  RollRefused(const std::string &reason, BundleOrigin current);
   const BundleOrigin &current() const { return Current; }
 
 private:
   BundleOrigin Current;
 };
 
-/// The current bundle was as new or newer before the roll began.
+/// The generation of the current bundle was equal or higher before the roll.
 class RollOutdated : public RollRefused {
 public:
   using RollRefused::RollRefused;
 };
 
-/// Another operator's bundle became current while this one was being rolled.
+/// Another operator's bundle became current during the roll.
 class RollConflict : public RollRefused {
 public:
   using RollRefused::RollRefused;
 };
 
-/// What a roll came to.
+/// The result of a roll.
 struct RollResult {
   std::uint64_t Generation = 0;
-  /// The same bundle was current already, from an earlier try.
+  /// Whether the same bundle was already current, from an earlier attempt.
   bool WasCurrent = false;
 };
 
-/// Makes the bundle the current one by one conditional update. A lost reply is
-/// settled by reading back. Throws RollOutdated, RollConflict,
-/// BundleMalformed (not a bundle), ObjectApiUnavailable (not rolled), or
-/// WriteOutcomeUnknown when not even reading back settled it; rolling the same
-/// bundle again is safe then.
+/// Rolls the bundle: makes it the current one by a single conditional update.
+/// If the reply is lost, the object is read back to determine the outcome.
+/// Throws RollOutdated, RollConflict, BundleMalformed, ObjectApiUnavailable if
+/// the bundle was not rolled, or WriteOutcomeUnknown if reading back did not
+/// determine the outcome. It is safe to roll the same bundle again.
 RollResult rollBundle(const ObjectApi &api, const SignedBundle &bundle);
 
-/// The bundle that lies in the object API, as an operator reads it: not
+/// The current bundle as read from the object API. Its signature is not
 /// verified, since only daemons have the accepted keys.
 struct CurrentBundle {
   Bundle Content;
   KeyId SignedBy;
 };
 
-/// The current bundle, or nothing if there is none or what lies there is not a
+/// Returns the current bundle, or nothing if there is no object or it is not a
 /// signed bundle. Throws ObjectApiUnavailable.
 std::optional<CurrentBundle> readCurrentBundle(const ObjectApi &api);
 
--- a/Libraries/LibOperator/CallTimeline.cpp
+++ b/Libraries/LibOperator/CallTimeline.cpp
@@ -11,12 +11,12 @@
 
 using Json = nlohmann::json;
 
-/// So long before a call began something may have happened that ended it, and
-/// so long after its end the reason may be written.
-constexpr std::int64_t LookBackMs = 6000;
-constexpr std::int64_t LookAfterMs = 1000;
+/// How long before the start of a call an event may have caused its end, and
+/// how long after its end the cause may be logged, in milliseconds.
+constexpr std::int64_t WindowBeforeMs = 6000;
+constexpr std::int64_t WindowAfterMs = 1000;
 
-/// What a host says of itself, whatever the call.
+/// Events that concern a whole host rather than a call.
 const std::set<std::string> HostEvents = {
     "started",          "stopping",
     "stopped",          "plan in force",
@@ -25,32 +25,36 @@
     "reload asked for", "log lines lost",
     "event loop fault"};
 
-struct CauseWords {
+struct CauseDescription {
   const char *Cause;
-  const char *Words;
+  const char *Text;
 };
 
-/// In the words of docs/OPERATIONS.md.
-const CauseWords Causes[] = {
-    {"no_plan_yet", "the process had not seen a configuration"},
-    {"no_route", "the plan in force has no route for it"},
-    {"no_such_key", "no team of the plan in force has its key"},
-    {"no_route_and_plan_stale", "its plan has no route for it, and is too old "
-                                "to say so for certain"},
-    {"no_key_and_plan_stale", "its plan has no such key, and is too old to say "
-                              "so for certain"},
-    {"keys_stale", "the host's plan was too old to say which keys count"},
-    {"beyond_allotment", "the team had used its allotment over all hosts"},
-    {"stopping", "the host was stopping and could not have ended it in time"},
-    {"no_upstream", "no upstream was left that is ready and takes another "
+/// docs/OPERATIONS.md lists the same causes.
+const CauseDescription CauseDescriptions[] = {
+    {"no_plan_yet", "the host had not received a configuration yet"},
+    {"no_route", "the plan in force has no route for the call"},
+    {"no_such_key", "no team of the plan in force has the caller's key"},
+    {"no_route_and_plan_stale", "the host's plan has no route for the call, "
+                                "but was too old to be reliable"},
+    {"no_key_and_plan_stale", "the host's plan has no such key, but was too "
+                              "old to be reliable"},
+    {"keys_stale", "the host's plan was too old to check keys against"},
+    {"beyond_allotment", "the team had used up its allotment across all hosts"},
+    {"stopping",
+     "the host was stopping and could not complete the call in time"},
+    {"no_upstream", "no remaining upstream was ready and accepted another "
                     "connection"},
     {"no_connection", "no upstream could be reached"},
-    {"no_attempt_left", "its route allows no further attempt"},
-    {"upstream_turned_away", "the upstream said that it did not run it"},
-    {"upstream_broke_off", "the upstream broke off; it may have run"},
-    {"upstream_truncated", "the upstream's answer broke off; it may have run"},
-    {"deadline", "its time was over"},
-    {"resume_failed", "its stream could not go on at another upstream"},
+    {"no_attempt_left", "the route allows no further attempt"},
+    {"upstream_turned_away",
+     "the upstream rejected the call without running it"},
+    {"upstream_broke_off",
+     "the upstream closed the connection; the call may have run"},
+    {"upstream_truncated",
+     "the upstream's response was truncated; the call may have run"},
+    {"deadline", "the deadline of the call passed"},
+    {"resume_failed", "the stream could not be resumed at another upstream"},
 };
 
 std::string textOf(const Json &from, const char *key) {
@@ -65,12 +69,13 @@
 
 bool isEnd(const TimelineEntry &line) { return !line.Outcome.empty(); }
 
-bool isBad(const TimelineEntry &line) {
+bool isFailure(const TimelineEntry &line) {
   return isEnd(line) && line.Outcome != "answered" &&
          line.Outcome != "caller_left";
 }
 
-/// Nothing for a line that is cut, torn or not the daemon's.
+/// Parses a line; returns nothing if it is truncated or not written by a
+/// daemon.
 std::optional<TimelineEntry> readLine(const std::string &raw) {
   const std::size_t begin = raw.find("{\"");
   if (begin == std::string::npos)
@@ -92,57 +97,61 @@
   return line;
 }
 
-std::string wordsFor(const std::string &cause) {
-  for (const CauseWords &it : Causes)
+std::string describeCause(const std::string &cause) {
+  for (const CauseDescription &it : CauseDescriptions)
     if (cause == it.Cause)
-      return it.Words;
+      return it.Text;
   return cause;
 }
 
-/// The span of time in which other lines may bear on the call.
-struct Span {
+/// The time window in which other lines may be relevant to the call.
+struct TimeWindow {
   std::int64_t FromMs = 0;
   std::int64_t ToMs = 0;
-  bool holds(const TimelineEntry &line) const {
+  bool contains(const TimelineEntry &line) const {
     return line.TimeMs >= FromMs && line.TimeMs <= ToMs;
   }
 };
 
-Span spanOf(const TimelineEntry &line) {
-  return {line.TimeMs - line.OpenMs - LookBackMs, line.TimeMs + LookAfterMs};
+TimeWindow windowOf(const TimelineEntry &line) {
+  return {line.TimeMs - line.OpenMs - WindowBeforeMs,
+          line.TimeMs + WindowAfterMs};
 }
 
-/// How many other calls ended badly at the same upstream at that time, and on
-/// how many hosts: an upstream at which all do is the cause, one call alone is
-/// not.
-std::string othersAt(const TimelineEntry &end,
-                     const std::vector<TimelineEntry> &lines) {
-  const Span span = spanOf(end);
+/// Describes how many other calls failed at the same upstream in that window,
+/// and on how many hosts. Many failures point to the upstream as the cause; a
+/// single one does not.
+std::string describeOtherFailures(const TimelineEntry &end,
+                                  const std::vector<TimelineEntry> &lines) {
+  const TimeWindow window = windowOf(end);
   std::size_t calls = 0;
   std::set<std::string> hosts;
   for (const TimelineEntry &it : lines) {
-    const bool isOther = isBad(it) && it.Upstream == end.Upstream &&
-                         it.CallId != end.CallId && span.holds(it);
+    const bool isOther = isFailure(it) && it.Upstream == end.Upstream &&
+                         it.CallId != end.CallId && window.contains(it);
     if (!isOther)
       continue;
     ++calls;
     hosts.insert(it.Host);
   }
   if (calls == 0)
-    return "no other call is known to have failed there at that time";
-  return std::to_string(calls) + " other calls failed there at that time, on " +
+    return "no other call is known to have failed there in that period";
+  return std::to_string(calls) +
+         " other calls failed there in that period, on " +
          std::to_string(hosts.size()) + " hosts";
 }
 
-std::string causeOf(const TimelineEntry &end,
-                    const std::vector<TimelineEntry> &lines) {
+std::string describeEnd(const TimelineEntry &end,
+                        const std::vector<TimelineEntry> &lines) {
   std::ostringstream out;
-  out << end.CallId << " ended as " << end.Outcome << " with " << end.Status
-      << " on " << end.Host << " after " << end.OpenMs << " ms";
+  out << end.CallId << " ended with outcome " << end.Outcome << ", status "
+      << end.Status << " on host " << end.Host << " after " << end.OpenMs
+      << " ms";
   if (!end.Cause.empty())
-    out << ": " << wordsFor(end.Cause) << " (" << end.Cause << ")";
-  if (isBad(end) && !end.Upstream.empty())
-    out << "; at " << end.Upstream << ", " << othersAt(end, lines);
+    out << ": " << describeCause(end.Cause) << " (" << end.Cause << ")";
+  if (isFailure(end) && !end.Upstream.empty())
+    out << "; at upstream " << end.Upstream << ", "
+        << describeOtherFailures(end, lines);
   return out.str();
 }
 
@@ -150,15 +159,15 @@
 
 std::vector<TimelineEntry> readTimeline(std::istream &log,
                                         const std::string &callId,
-                                        std::size_t &unreadable) {
+                                        std::size_t &unreadableCount) {
   std::vector<TimelineEntry> out;
   for (std::string raw; std::getline(log, raw);) {
     if (raw.empty())
       continue;
     const std::optional<TimelineEntry> line = readLine(raw);
     if (!line)
-      ++unreadable;
-    else if (line->CallId == callId || !isEnd(*line) || isBad(*line))
+      ++unreadableCount;
+    else if (line->CallId == callId || !isEnd(*line) || isFailure(*line))
       out.push_back(*line);
   }
   return out;
@@ -166,32 +175,33 @@
 
 CallTimeline buildTimeline(const std::string &callId,
                            const std::vector<TimelineEntry> &lines) {
-  CallTimeline story;
+  CallTimeline timeline;
   std::vector<const TimelineEntry *> ends;
   for (const TimelineEntry &it : lines)
     if (it.CallId == callId && isEnd(it))
       ends.push_back(&it);
-  const auto bears = [&](const TimelineEntry &it) {
+  const auto isRelevant = [&](const TimelineEntry &it) {
     if (it.CallId == callId)
       return true;
     return std::any_of(ends.begin(), ends.end(), [&](const TimelineEntry *end) {
-      if (!spanOf(*end).holds(it) || !it.CallId.empty())
+      if (!windowOf(*end).contains(it) || !it.CallId.empty())
         return false;
-      const bool isOfHost =
+      const bool isHostEvent =
           it.Host == end->Host && HostEvents.count(it.Event) != 0;
-      return isOfHost || (!it.Upstream.empty() && it.Upstream == end->Upstream);
+      return isHostEvent ||
+             (!it.Upstream.empty() && it.Upstream == end->Upstream);
     });
   };
   for (const TimelineEntry &it : lines)
-    if (bears(it))
-      story.Lines.push_back(it);
-  std::stable_sort(story.Lines.begin(), story.Lines.end(),
+    if (isRelevant(it))
+      timeline.Lines.push_back(it);
+  std::stable_sort(timeline.Lines.begin(), timeline.Lines.end(),
                    [](const TimelineEntry &a, const TimelineEntry &b) {
                      return a.TimeMs < b.TimeMs;
                    });
   for (const TimelineEntry *it : ends)
-    story.Causes.push_back(causeOf(*it, lines));
-  return story;
+    timeline.Causes.push_back(describeEnd(*it, lines));
+  return timeline;
 }
 
 } // namespace sorrelbay
--- a/Libraries/LibOperator/CallTimeline.h
+++ b/Libraries/LibOperator/CallTimeline.h
@@ -7,47 +7,50 @@
 
 namespace sorrelbay {
 
-/// One line of a daemon's log, as far as a call's story needs it.
+/// A line of a daemon's log, with the fields needed for the timeline of a call.
 struct TimelineEntry {
-  /// The host's time of day, in milliseconds since 1970; hosts differ a little.
+  /// The host's clock in milliseconds since 1970; hosts' clocks differ
+  /// slightly.
   std::int64_t TimeMs = 0;
   std::string Host;
   std::string Event;
-  /// The call that it is about, or the upstream; empty if none.
+  /// The call and the upstream that the line refers to; empty if none.
   std::string CallId;
   std::string Upstream;
-  /// Of a line about a call's end; empty elsewhere.
+  /// Set only in the line logged at the end of a call; empty in others.
   std::string Outcome;
   std::string Cause;
   int Status = 0;
-  /// How long the call had been open at its end.
+  /// The duration of the call at its end, in milliseconds.
   std::int64_t OpenMs = 0;
-  /// The line's own text, without what stands before it.
+  /// The JSON text of the line, without any prefix.
   std::string Text;
 };
 
-/// What the logs of several hosts say of one call.
+/// The log lines of several hosts that are relevant to one call.
 struct CallTimeline {
-  /// One line for each end of the call, the cause first; empty if no log names
-  /// the call.
+  /// A description of each end of the call, with its cause; empty if no log
+  /// contains one.
   std::vector<std::string> Causes;
-  /// The lines about the call and those that bear on it, in order of time.
+  /// The lines about the call and the events relevant to it, sorted by time.
   std::vector<TimelineEntry> Lines;
-  /// Lines that could not be read: cut, torn, or not the daemon's.
-  std::size_t Unreadable = 0;
+  /// The number of lines that could not be parsed: truncated, or not written by
+  /// a daemon.
+  std::size_t UnreadableCount = 0;
 };
 
-/// Reads a log for the call's story. What stands before a line's JSON is passed
-/// over; lines that are no JSON are counted in `unreadable`. Other calls' good
-/// ends are left out: they are most of a log.
+/// Reads the lines of a log that may be relevant to the call. Text before the
+/// JSON of a line is skipped; lines without JSON are added to
+/// `unreadableCount`. The ends of other calls that succeeded are left out: they
+/// are most of a log.
 std::vector<TimelineEntry> readTimeline(std::istream &log,
                                         const std::string &callId,
-                                        std::size_t &unreadable);
+                                        std::size_t &unreadableCount);
 
-/// Tells the story of the call by the lines of all hosts. Beside the call's own
-/// lines it takes what its hosts said of the store, the plan and themselves
-/// while it was open and a little before, and what any host said then of the
-/// upstream that had it.
+/// Builds the timeline of a call from the lines of all hosts. Besides the
+/// call's own lines it contains, from shortly before the call until shortly
+/// after it, the events of its hosts concerning the store, the plan and the
+/// daemon, and the events of all hosts concerning its upstream.
 CallTimeline buildTimeline(const std::string &callId,
                            const std::vector<TimelineEntry> &lines);
 
--- a/Libraries/LibOperator/MoveStatus.cpp
+++ b/Libraries/LibOperator/MoveStatus.cpp
@@ -14,7 +14,7 @@
        {MoveState::Moving, MoveState::Done, MoveState::TakenBack})
     if (name == nameOf(it))
       return it;
-  throw MoveStatusMalformed("a move has no state \"" + name + "\"");
+  throw MoveStatusMalformed("unknown rollout state \"" + name + "\"");
 }
 
 ordered_json evidenceToJson(const std::vector<RouteEvidence> &evidence) {
@@ -44,7 +44,7 @@
     return {};
   const auto at = parseRfc3339(value.get<std::string>());
   if (!at)
-    throw MoveStatusMalformed(std::string(key) + " is not a time");
+    throw MoveStatusMalformed(std::string(key) + " is not an RFC 3339 time");
   return *at;
 }
 
@@ -53,19 +53,19 @@
 }
 
 MoveStatus fromJson(const ordered_json &from) {
-  MoveStatus move;
-  move.Version = VersionId(from.at("version").get<std::string>());
-  move.Service = ServiceId(from.at("service").get<std::string>());
-  from.at("generation").get_to(move.Generation);
-  move.State = stateOf(from.at("state").get<std::string>());
-  from.at("stage").get_to(move.Stage);
-  from.at("share").get_to(move.Share);
-  move.Deadline = timeAt(from, "deadline");
-  from.at("cost_micros").get_to(move.Cost);
-  move.Evidence = evidenceFromJson(from.at("evidence"));
-  from.at("reason").get_to(move.Reason);
-  move.Since = timeAt(from, "since");
-  return move;
+  MoveStatus status;
+  status.Version = VersionId(from.at("version").get<std::string>());
+  status.Service = ServiceId(from.at("service").get<std::string>());
+  from.at("generation").get_to(status.Generation);
+  status.State = stateOf(from.at("state").get<std::string>());
+  from.at("stage").get_to(status.Stage);
+  from.at("share").get_to(status.Share);
+  status.Deadline = timeAt(from, "deadline");
+  from.at("cost_micros").get_to(status.Cost);
+  status.Evidence = evidenceFromJson(from.at("evidence"));
+  from.at("reason").get_to(status.Reason);
+  status.Since = timeAt(from, "since");
+  return status;
 }
 
 } // namespace
@@ -82,19 +82,19 @@
   return "";
 }
 
-std::string encodeMoveStatus(const MoveStatus &move) {
+std::string encodeMoveStatus(const MoveStatus &status) {
   ordered_json out;
-  out["version"] = move.Version.text();
-  out["service"] = move.Service.text();
-  out["generation"] = move.Generation;
-  out["state"] = nameOf(move.State);
-  out["stage"] = move.Stage;
-  out["share"] = move.Share;
-  out["deadline"] = timeToJson(move.Deadline);
-  out["cost_micros"] = move.Cost;
-  out["evidence"] = evidenceToJson(move.Evidence);
-  out["reason"] = move.Reason;
-  out["since"] = timeToJson(move.Since);
+  out["version"] = status.Version.text();
+  out["service"] = status.Service.text();
+  out["generation"] = status.Generation;
+  out["state"] = nameOf(status.State);
+  out["stage"] = status.Stage;
+  out["share"] = status.Share;
+  out["deadline"] = timeToJson(status.Deadline);
+  out["cost_micros"] = status.Cost;
+  out["evidence"] = evidenceToJson(status.Evidence);
+  out["reason"] = status.Reason;
+  out["since"] = timeToJson(status.Since);
   return out.dump(-1, ' ', false, ordered_json::error_handler_t::replace);
 }
 
@@ -102,8 +102,9 @@
   try {
     return fromJson(ordered_json::parse(text));
   } catch (const ordered_json::exception &error) {
-    throw MoveStatusMalformed(std::string("a move can't be decoded: ") +
-                              error.what());
+    throw MoveStatusMalformed(
+        std::string("the status of a rollout can't be decoded: ") +
+        error.what());
   }
 }
 
@@ -116,14 +117,15 @@
 }
 
 bool areMovesSettled(const Bundle &bundle,
-                     const std::vector<MoveStatus> &moves) {
+                     const std::vector<MoveStatus> &statuses) {
   const auto isSettled = [&](const UpstreamVersion &version) {
     return version.Deadline == Instant() ||
-           std::any_of(moves.begin(), moves.end(), [&](const MoveStatus &it) {
-             return it.Version == version.Id &&
-                    it.Generation >= bundle.Generation &&
-                    it.State != MoveState::Moving;
-           });
+           std::any_of(statuses.begin(), statuses.end(),
+                       [&](const MoveStatus &it) {
+                         return it.Version == version.Id &&
+                                it.Generation >= bundle.Generation &&
+                                it.State != MoveState::Moving;
+                       });
   };
   return std::all_of(bundle.Versions.begin(), bundle.Versions.end(), isSettled);
 }
--- a/Libraries/LibOperator/MoveStatus.h
+++ b/Libraries/LibOperator/MoveStatus.h
@@ -9,63 +9,64 @@
 
 namespace sorrelbay {
 
-/// Where the move of a version to its share stands.
+/// The state of the rollout of a version.
 enum class MoveState { Moving, Done, TakenBack };
 
-/// "moving", "done" or "taken_back".
+/// Returns "moving", "done" or "taken_back".
 const char *nameOf(MoveState state);
 
-/// What all entry hosts together saw of a version on one route.
+/// The evidence about a version on one route, summed over all entry hosts.
 struct RouteEvidence {
   RouteId OnRoute;
   EvidenceCount Count;
 };
 
-/// One move as daemons write it to `status/moves/<version>` for operators.
+/// The status of a rollout, which daemons write to `status/moves/<version>` for
+/// operators.
 struct MoveStatus {
   VersionId Version;
   ServiceId Service;
-  /// The bundle that ordered the move.
+  /// The generation of the bundle that ordered the rollout.
   std::uint64_t Generation = 0;
   MoveState State = MoveState::Moving;
-  /// The step of the move, from 0.
+  /// The stage of the rollout, from 0.
   int Stage = 0;
-  /// The share of calls that the version gets now, 0 to 1.
+  /// The share of calls that the version gets currently, 0 to 1.
   double Share = 0;
-  /// The epoch if the bundle names none.
+  /// The deadline of the rollout; the epoch if the bundle has none.
   Instant Deadline{};
-  /// Micro-units of money spent on this version's replicas since the move
-  /// began.
+  /// The cost of this version's replicas since the start of the rollout, in
+  /// millionths of the currency unit.
   std::int64_t Cost = 0;
   std::vector<RouteEvidence> Evidence;
-  /// A sentence on why it was done, taken back, or is waiting.
+  /// A sentence that explains why the rollout is done, rolled back or waiting.
   std::string Reason;
-  /// When the move came to this state.
+  /// When the rollout reached this state.
   Instant Since{};
 };
 
-/// The objects' common prefix; the version's id follows.
+/// The prefix of the objects' names; the version's id follows.
 constexpr const char *MoveStatusPrefix = "status/moves/";
 
-/// An object below MoveStatusPrefix is not a move's status.
+/// An object with the prefix MoveStatusPrefix is not the status of a rollout.
 class MoveStatusMalformed : public Error {
 public:
   using Error::Error;
 };
 
-/// The move as a JSON object, on one line.
-std::string encodeMoveStatus(const MoveStatus &move);
-/// The inverse. Throws MoveStatusMalformed.
+/// Encodes the status as a JSON object on one line.
+std::string encodeMoveStatus(const MoveStatus &status);
+/// Decodes a status. Throws MoveStatusMalformed.
 MoveStatus decodeMoveStatus(const std::string &text);
 
-/// All moves in the order of their versions' ids. Throws ObjectApiUnavailable
-/// or MoveStatusMalformed.
+/// Reads the status of all rollouts, sorted by the versions' ids. Throws
+/// ObjectApiUnavailable or MoveStatusMalformed.
 std::vector<MoveStatus> readMoveStatuses(const ObjectApi &api);
 
-/// Whether each version of the bundle that has a deadline came to its end
-/// under this bundle. A daemon writes the first status some time after the
-/// roll, so a missing or older one is a move that has yet to begin.
+/// Whether the rollouts of all versions with a deadline have ended under this
+/// bundle. Daemons write the first status some time after the bundle is rolled,
+/// so a missing or older status means that the rollout has not begun.
 bool areMovesSettled(const Bundle &bundle,
-                     const std::vector<MoveStatus> &moves);
+                     const std::vector<MoveStatus> &statuses);
 
 } // namespace sorrelbay
--- a/Libraries/LibOperator/SignedBundle.cpp
+++ b/Libraries/LibOperator/SignedBundle.cpp
@@ -7,8 +7,8 @@
 
 using nlohmann::json;
 
-/// Signed along with the payload, so that a signature which the same key made
-/// for another purpose is none for a bundle.
+/// Signed together with the payload, so that a signature made with the same key
+/// for another purpose is not valid for a bundle.
 constexpr const char *SigningContext = "sorrelbay bundle 1\n";
 
 std::string signedText(const std::string &payload) {
@@ -32,8 +32,9 @@
   out.SignedBy = key.publicKey().id();
   out.Signature = key.sign(signedText(out.Payload));
   if (encodeSignedBundle(out).size() > MaxBundleBytes)
-    throw BundleTooLarge("the signed bundle has more bytes than are taken: " +
-                         std::to_string(MaxBundleBytes));
+    throw BundleTooLarge(
+        "the signed bundle exceeds the maximum size in bytes: " +
+        std::to_string(MaxBundleBytes));
   return out;
 }
 
@@ -50,11 +51,11 @@
   if (bytes.size() > MaxBundleBytes)
     throw BundleTooLarge("the signed bundle has " +
                          std::to_string(bytes.size()) +
-                         " bytes, more than are taken");
+                         " bytes, more than the maximum size");
   try {
     const json value = json::from_cbor(bytes);
     if (!value.contains("signature") || !value.contains("key"))
-      throw BundleUnsigned("the bundle carries no signature");
+      throw BundleUnsigned("the bundle has no signature");
     return {binaryAt(value, "payload"),
             KeyId(value.at("key").get<std::string>()),
             binaryAt(value, "signature")};
@@ -67,7 +68,7 @@
 Bundle verifyBundle(const SignedBundle &bundle,
                     const std::vector<PublicKey> &acceptedKeys) {
   if (bundle.Signature.empty())
-    throw BundleUnsigned("the bundle carries no signature");
+    throw BundleUnsigned("the bundle has no signature");
   bool isKeyKnown = false;
   for (const PublicKey &it : acceptedKeys) {
     if (it.id() != bundle.SignedBy)
@@ -79,7 +80,7 @@
   if (!isKeyKnown)
     throw BundleKeyUnknown("the bundle is signed by key " +
                            bundle.SignedBy.text() +
-                           ", which is not accepted here");
+                           ", which is not an accepted key");
   throw BundleSignatureWrong("the signature by key " + bundle.SignedBy.text() +
                              " does not match the bundle");
 }
--- a/Libraries/LibOperator/SignedBundle.h
+++ b/Libraries/LibOperator/SignedBundle.h
@@ -8,10 +8,10 @@
 
 namespace sorrelbay {
 
-/// A bundle as it lies in the object API and goes from peer to peer: the bytes
-/// that were signed, so that no host has to encode them again.
+/// A bundle as stored in the object API and sent between peers. It keeps the
+/// signed bytes, so that no host has to encode the bundle again.
 struct SignedBundle {
-  /// What encodeBundle gave.
+  /// The bundle as encoded by encodeBundle.
   std::string Payload;
   KeyId SignedBy;
   std::string Signature;
@@ -22,19 +22,21 @@
   }
 };
 
-/// The object that holds the bundle in force.
+/// The name of the object that stores the current bundle.
 constexpr const char *CurrentBundleObject = "bundle/current";
 
-/// Signs the bundle off. Throws BundleTooLarge, KeyUnusable.
+/// Signs the bundle. Throws BundleTooLarge or KeyUnusable.
 SignedBundle signBundle(const Bundle &bundle, const SigningKey &key);
 
-/// The bytes of the `bundle/current` object.
+/// Encodes the signed bundle as the body of the `bundle/current` object.
 std::string encodeSignedBundle(const SignedBundle &bundle);
-/// Throws BundleUnsigned, BundleTooLarge or BundleMalformed.
+/// Decodes a signed bundle without verifying it. Throws BundleUnsigned,
+/// BundleTooLarge or BundleMalformed.
 SignedBundle decodeSignedBundle(const std::string &bytes);
 
-/// The bundle, if one of the accepted keys signed it. Throws a kind of
-/// BundleRefused. Two keys are accepted while operators rotate them.
+/// Verifies the signature and returns the bundle. Throws a subclass of
+/// BundleRefused if it is not signed by an accepted key. Two keys are accepted
+/// while operators rotate keys.
 Bundle verifyBundle(const SignedBundle &bundle,
                     const std::vector<PublicKey> &acceptedKeys);
 
--- a/Libraries/LibOperator/SigningKey.cpp
+++ b/Libraries/LibOperator/SigningKey.cpp
@@ -63,17 +63,17 @@
 
 std::string errnoText() { return std::strerror(errno); }
 
-FilePointer openOwnFile(const std::string &path) {
+FilePointer openKeyFile(const std::string &path) {
   FilePointer file(std::fopen(path.c_str(), "re"));
   if (!file)
     throw KeyUnusable(path + ": can't be opened: " + errnoText());
-  // The open file is asked, not the path, which could be swapped in between.
+  // Examines the open file, since the path could be replaced in between.
   struct stat status {};
   if (fstat(fileno(file.get()), &status) != 0)
     throw KeyUnusable(path + ": can't be examined: " + errnoText());
   if ((status.st_mode & OthersBits) != 0)
-    throw KeyExposed(path + ": others than its owner may use this key; set "
-                            "its mode to 0600 and think about replacing it");
+    throw KeyExposed(path + ": users other than its owner may access this key; "
+                            "set its mode to 0600 and consider replacing it");
   return file;
 }
 
@@ -85,10 +85,11 @@
 
 PublicKey PublicKey::parse(const std::string &hex) {
   if (hex.size() != 2 * PublicKeyBytes)
-    throw KeyUnusable("a public key has 64 hex digits");
+    throw KeyUnusable("a public key must have 64 hex digits");
   for (const char it : hex)
     if (digitValue(it) < 0)
-      throw KeyUnusable("a public key has only the digits 0 to 9 and a to f");
+      throw KeyUnusable(
+          "a public key must have only the digits 0 to 9 and a to f");
   return PublicKey(hex);
 }
 
@@ -116,13 +117,13 @@
 SigningKey SigningKey::generate() {
   KeyPointer key(EVP_PKEY_Q_keygen(nullptr, nullptr, "ED25519"));
   if (!key)
-    throw KeyUnusable("no key could be generated");
+    throw KeyUnusable("the key can't be generated");
   return SigningKey(std::make_unique<Pair>(Pair{std::move(key)}));
 }
 
 SigningKey SigningKey::load(const std::string &path) {
-  const FilePointer file = openOwnFile(path);
-  // Without a password callback the library would ask on the terminal.
+  const FilePointer file = openKeyFile(path);
+  // Without a password callback, OpenSSL prompts on the terminal.
   const auto noPassword = [](char *, int, int, void *) { return 0; };
   KeyPointer key(PEM_read_PrivateKey(file.get(), nullptr, noPassword, nullptr));
   if (!key || EVP_PKEY_id(key.get()) != EVP_PKEY_ED25519)
@@ -149,7 +150,7 @@
   std::array<unsigned char, PublicKeyBytes> buf{};
   std::size_t n = buf.size();
   if (EVP_PKEY_get_raw_public_key(KeyPair->Key.get(), buf.data(), &n) != 1)
-    throw KeyUnusable("the key has no public half");
+    throw KeyUnusable("the public key can't be derived");
   return PublicKey::parse(toHex(buf.data(), n));
 }
 
@@ -164,7 +165,7 @@
       EVP_DigestSign(context.get(), reinterpret_cast<unsigned char *>(&out[0]),
                      &n, bytesOf(message), message.size()) == 1;
   if (!isSigned)
-    throw KeyUnusable("the key can't sign");
+    throw KeyUnusable("the message can't be signed");
   return out;
 }
 
--- a/Libraries/LibOperator/SigningKey.h
+++ b/Libraries/LibOperator/SigningKey.h
@@ -7,31 +7,31 @@
 
 namespace sorrelbay {
 
-/// The name of a signing key: the first 16 hex digits of its public half.
+/// The id of a signing key: the first 16 hex digits of its public key.
 using KeyId = Identifier<struct KeyTag>;
 
-/// A key can't be read, written or used as one.
+/// A key can't be read, written or used.
 class KeyUnusable : public Error {
 public:
   using Error::Error;
 };
 
-/// A private key lies where others than its owner can read it.
+/// The file of a private key is accessible to users other than its owner.
 class KeyExposed : public KeyUnusable {
 public:
   using KeyUnusable::KeyUnusable;
 };
 
-/// The public half of an Ed25519 key, as settings carry it.
+/// An Ed25519 public key, as given in settings.
 class PublicKey {
 public:
-  /// Reads 64 hex digits. Throws KeyUnusable.
+  /// Parses 64 lowercase hex digits. Throws KeyUnusable.
   static PublicKey parse(const std::string &hex);
 
   const std::string &hex() const { return Hex; }
   KeyId id() const;
-  /// Whether the signature was made over the message with this key's private
-  /// half.
+  /// Whether the signature of the message was made with the private key that
+  /// belongs to this public key.
   bool verifies(const std::string &message, const std::string &signature) const;
 
   friend bool operator==(const PublicKey &a, const PublicKey &b) {
@@ -46,19 +46,19 @@
 /// An operator's Ed25519 key pair.
 class SigningKey {
 public:
-  /// A new key from the system's random source.
+  /// Generates a key from the system's random source. Throws KeyUnusable.
   static SigningKey generate();
-  /// Reads a PEM file. Throws KeyUnusable, and KeyExposed for a file that
-  /// others than its owner may read or write: whoever read it may sign.
+  /// Loads a key from a PEM file. Throws KeyUnusable, and KeyExposed for a file
+  /// that users other than its owner may access: anyone who read it can sign.
   static SigningKey load(const std::string &path);
   SigningKey(SigningKey &&) noexcept;
   ~SigningKey();
 
-  /// Writes a PEM file with mode 0600. Throws KeyUnusable, also if a file is
-  /// there already: overwriting would lose a key that daemons accept.
+  /// Writes the key to a PEM file with mode 0600. Throws KeyUnusable, also if
+  /// the file exists: overwriting could destroy a key that daemons accept.
   void save(const std::string &path) const;
   PublicKey publicKey() const;
-  /// The 64 bytes of the signature over the message.
+  /// Returns the signature of the message, 64 bytes. Throws KeyUnusable.
   std::string sign(const std::string &message) const;
 
 private:
--- a/Tests/LibOperator/SampleBundle.h
+++ b/Tests/LibOperator/SampleBundle.h
@@ -5,19 +5,20 @@
 
 namespace sorrelbay {
 
-/// A small bundle with one service, one version and one route.
+/// Returns a small bundle with one service, one version, one route and one
+/// team.
 Bundle sampleBundle(std::uint64_t generation);
 
-/// One object of an object API in memory. Tests set the hooks aside to make
-/// calls fail.
+/// An object API in memory with a single object. Tests replace the hooks to
+/// make calls fail.
 struct MemoryObject {
   std::optional<StoredObject> Object;
-  /// Called before a write takes effect and after it; either may throw.
+  /// Invoked before and after a write takes effect; either may throw.
   std::function<void()> BeforeWrite = [] {};
   std::function<void()> AfterWrite = [] {};
   std::function<void()> BeforeRead = [] {};
 
-  /// The API over this object, which must outlive it.
+  /// Returns the API to this object. The object must outlive it.
   ObjectApi api();
 };
 
--- a/Tests/LibOperator/TestBundleFile.cpp
+++ b/Tests/LibOperator/TestBundleFile.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-const Instant Evening = *parseRfc3339("2026-12-03T20:00:00Z");
+const Instant ReferenceTime = *parseRfc3339("2026-12-03T20:00:00Z");
 
-const std::string Whole = R"(generation = 7
+const std::string ValidFile = R"(generation = 7
 [[service]]
 id = "floor-model"
 kind = "engine"
@@ -51,12 +51,12 @@
 reclaimable_share = 0.54
 )";
 
-/// A change to the whole file and the fault that it must give.
+/// A replacement in the valid file and the error that it must cause.
 struct FaultRow {
   const char *Name;
   const char *Old;
   const char *New;
-  const char *Wanted;
+  const char *Expected;
 };
 
 std::ostream &operator<<(std::ostream &out, const FaultRow &row) {
@@ -78,10 +78,10 @@
      "'.'"},
     {"route of no service", "service = \"crew-desk\"\nrepeatable",
      "service = \"van-desk\"\nrepeatable",
-     "b.toml:29: route[1].service: names no service of this bundle"},
+     "b.toml:29: route[1].service: is not a service of this bundle"},
     {"version of no service", "service = \"floor-model\"\nshare = 1.0",
      "service = \"wall-model\"\nshare = 0.0",
-     "b.toml:15: version[1].service: names no service of this bundle\n"
+     "b.toml:15: version[1].service: is not a service of this bundle\n"
      "b.toml:3: service[0].id: the shares of its versions add up to 0.000000, "
      "not to 1"},
     {"shares", "share = 0.0", "share = 0.25",
@@ -89,17 +89,17 @@
      "not to 1"},
     {"two without deadline", "deadline = \"2026-12-04T04:00:00+01:00\"", "",
      "b.toml: version[1].deadline: is missing; only one version of a service "
-     "may have none"},
+     "may omit it"},
     {"no time", "04:00:00+01:00", "04:00:00",
-     "b.toml:17: version[1].deadline: must be a string in RFC 3339 with an "
+     "b.toml:17: version[1].deadline: must be an RFC 3339 time with a UTC "
      "offset"},
     {"both deadlines", "adapters", "deadline_in_s = 60\nadapters",
-     "b.toml:18: version[1].deadline_in_s: clashes with deadline"},
+     "b.toml:18: version[1].deadline_in_s: can't be combined with deadline"},
     {"same id", "\"floor-2\"", "\"floor-1\"",
-     "b.toml:14: version[1].id: is used twice"},
+     "b.toml:14: version[1].id: is already in use"},
     {"engine that may not be repeated", "token_target_ms = 74",
      "repeatable = false",
-     "b.toml:26: route[0].repeatable: may be false only for a desk's route"},
+     "b.toml:26: route[0].repeatable: may be false only for a route to a desk"},
     {"service without version", "service = \"crew-desk\"\n[[route]]",
      "service = \"floor-model\"\nshare = 0.0\ndeadline_in_s = 9\n[[route]]",
      "b.toml:7: service[1].id: has no version in this bundle"},
@@ -119,7 +119,7 @@
 BOOST_AUTO_TEST_SUITE(BundleFileTests)
 
 BOOST_AUTO_TEST_CASE(reads_every_key) {
-  const Bundle bundle = parseBundle(Whole, "b.toml", Evening);
+  const Bundle bundle = parseBundle(ValidFile, "b.toml", ReferenceTime);
   BOOST_CHECK_EQUAL(bundle.Generation, 7);
   const Service *service = findService(bundle, ServiceId("floor-model"));
   BOOST_REQUIRE(service != nullptr);
@@ -139,17 +139,18 @@
 BOOST_AUTO_TEST_CASE(counts_a_deadline_in_seconds_from_now) {
   const FaultRow change{"", "deadline = \"2026-12-04T04:00:00+01:00\"",
                         "deadline_in_s = 90", ""};
-  const Bundle bundle = parseBundle(replaced(Whole, change), "b", Evening);
-  BOOST_CHECK(bundle.Versions.at(1).Deadline == Evening + seconds(90));
+  const Bundle bundle =
+      parseBundle(replaced(ValidFile, change), "b", ReferenceTime);
+  BOOST_CHECK(bundle.Versions.at(1).Deadline == ReferenceTime + seconds(90));
 }
 
 BOOST_DATA_TEST_CASE(refuses_and_names_every_fault,
                      boost::unit_test::data::make(FaultRows), row) {
   try {
-    parseBundle(replaced(Whole, row), "b.toml", Evening);
-    BOOST_ERROR("the bundle was taken");
+    parseBundle(replaced(ValidFile, row), "b.toml", ReferenceTime);
+    BOOST_ERROR("the bundle was accepted");
   } catch (const TomlError &error) {
-    BOOST_CHECK_EQUAL(error.what(), row.Wanted);
+    BOOST_CHECK_EQUAL(error.what(), row.Expected);
   }
 }
 
--- a/Tests/LibOperator/TestCallTimeline.cpp
+++ b/Tests/LibOperator/TestCallTimeline.cpp
@@ -18,67 +18,73 @@
    9.9 edge-b {"time_ms":99000,"host":"b","event":"upstream ready","upstream":"u1"}
 )";
 
-CallTimeline tell(const std::string &id, const std::string &log) {
-  std::size_t unreadable = 0;
+CallTimeline timelineOf(const std::string &id, const std::string &log) {
+  std::size_t unreadableCount = 0;
   std::istringstream in(log);
-  const std::vector<TimelineEntry> lines = readTimeline(in, id, unreadable);
-  CallTimeline story = buildTimeline(id, lines);
-  story.Unreadable = unreadable;
-  return story;
+  const std::vector<TimelineEntry> lines =
+      readTimeline(in, id, unreadableCount);
+  CallTimeline timeline = buildTimeline(id, lines);
+  timeline.UnreadableCount = unreadableCount;
+  return timeline;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(call_story)
+BOOST_AUTO_TEST_SUITE(call_timeline)
 
-// A crew leader's booking ended in 502. The operator has the logs of all hosts
-// and the call's id, and needs to know whether it was the host or the desk.
+// A booking failed with status 502. From the logs of all hosts and the call's
+// id the operator must find out whether the host or the desk was the cause.
 BOOST_AUTO_TEST_CASE(the_cause_comes_first_with_what_else_failed_there) {
-  const CallTimeline story = tell("x1", TwoHosts);
-  BOOST_REQUIRE(story.Causes.size() == 1U);
-  const std::string &cause = story.Causes.front();
-  BOOST_TEST(cause.find("x1 ended as refused with 502 on a after 2002 ms") ==
-             0);
-  BOOST_TEST(cause.find("the upstream broke off; it may have run") !=
-             std::string::npos);
-  BOOST_TEST(cause.find("at u1, 2 other calls failed there at that time, on 2 "
-                        "hosts") != std::string::npos);
+  const CallTimeline timeline = timelineOf("x1", TwoHosts);
+  BOOST_REQUIRE(timeline.Causes.size() == 1U);
+  const std::string &cause = timeline.Causes.front();
+  BOOST_TEST(
+      cause.find("x1 ended with outcome refused, status 502 on host a after "
+                 "2002 ms") == 0);
+  BOOST_TEST(
+      cause.find("the upstream closed the connection; the call may have run") !=
+      std::string::npos);
+  BOOST_TEST(cause.find("at upstream u1, 2 other calls failed there in that "
+                        "period, on 2 hosts") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(lines_that_bear_on_it_follow_in_order_of_time) {
-  const CallTimeline story = tell("x1", TwoHosts);
-  BOOST_REQUIRE(story.Lines.size() == 4U);
-  BOOST_TEST(story.Lines[0].Event == "upstream ready");
-  BOOST_TEST(story.Lines[1].Event == "store view failed");
-  BOOST_TEST(story.Lines[1].Host == "a");
-  BOOST_TEST(story.Lines[2].CallId == "x1");
-  BOOST_TEST(story.Lines[3].Event == "upstream gone");
+BOOST_AUTO_TEST_CASE(relevant_lines_follow_in_order_of_time) {
+  const CallTimeline timeline = timelineOf("x1", TwoHosts);
+  BOOST_REQUIRE(timeline.Lines.size() == 4U);
+  BOOST_TEST(timeline.Lines[0].Event == "upstream ready");
+  BOOST_TEST(timeline.Lines[1].Event == "store view failed");
+  BOOST_TEST(timeline.Lines[1].Host == "a");
+  BOOST_TEST(timeline.Lines[2].CallId == "x1");
+  BOOST_TEST(timeline.Lines[3].Event == "upstream gone");
 }
 
-// A host was killed while it wrote, and its log was copied in parts.
-BOOST_AUTO_TEST_CASE(cut_and_torn_lines_are_counted_and_passed_over) {
+// A host was killed while it wrote a line, and its log was copied in parts.
+BOOST_AUTO_TEST_CASE(truncated_lines_are_counted_and_skipped) {
   const std::string log =
       std::string("vent\":\"call\",\"id\":\"x1\"\n\nnot a log line\n") +
       TwoHosts + R"({"time_ms":7400,"host":"b","event":"cal)";
-  const CallTimeline story = tell("x1", log);
-  BOOST_TEST(story.Causes.size() == 1U);
-  BOOST_TEST(story.Unreadable == 3U);
+  const CallTimeline timeline = timelineOf("x1", log);
+  BOOST_TEST(timeline.Causes.size() == 1U);
+  BOOST_TEST(timeline.UnreadableCount == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(a_call_that_no_log_names_has_no_story) {
-  const CallTimeline story = tell("nowhere", TwoHosts);
-  BOOST_TEST(story.Causes.empty());
-  BOOST_TEST(story.Lines.empty());
+BOOST_AUTO_TEST_CASE(a_call_that_no_log_names_has_no_timeline) {
+  const CallTimeline timeline = timelineOf("nowhere", TwoHosts);
+  BOOST_TEST(timeline.Causes.empty());
+  BOOST_TEST(timeline.Lines.empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_good_call_and_one_with_a_new_cause_are_told_too) {
-  BOOST_TEST(tell("good", TwoHosts).Causes.front() ==
-             "good ended as answered with 200 on b after 20 ms");
-  const CallTimeline story = tell(
+BOOST_AUTO_TEST_CASE(a_successful_call_and_an_unknown_cause_are_described) {
+  BOOST_TEST(
+      timelineOf("good", TwoHosts).Causes.front() ==
+      "good ended with outcome answered, status 200 on host b after 20 ms");
+  const CallTimeline timeline = timelineOf(
       "y", R"({"time_ms":1,"host":"a","event":"call","id":"y",)"
            R"("outcome":"refused","status":503,"cause":"new_one","ms":3})");
-  BOOST_TEST(story.Causes.front() ==
-             "y ended as refused with 503 on a after 3 ms: new_one (new_one)");
+  BOOST_TEST(
+      timeline.Causes.front() ==
+      "y ended with outcome refused, status 503 on host a after 3 ms: new_one "
+      "(new_one)");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Tests/LibOperator/TestSignedBundle.cpp
+++ b/Tests/LibOperator/TestSignedBundle.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-/// What a bundle came to: in force, or the kind of refusal.
+/// The outcome of a step: accepted, or the error by which it failed.
 template <typename Step> std::string outcomeOf(Step step) {
   try {
     step();
-    return "taken";
+    return "accepted";
   } catch (const BundleUnsigned &) {
     return "unsigned";
   } catch (const BundleKeyUnknown &) {
@@ -40,7 +40,7 @@
 }
 
 const TamperRow TamperRows[] = {
-    {"taken", [](SignedBundle &) {}},
+    {"accepted", [](SignedBundle &) {}},
     {"unsigned", [](SignedBundle &it) { it.Signature.clear(); }},
     {"key unknown",
      [](SignedBundle &it) { it.SignedBy = KeyId("0123456789abcdef"); }},
@@ -61,7 +61,7 @@
 }
 
 const BytesRow BytesRows[] = {
-    {"taken", [](std::string &) {}},
+    {"accepted", [](std::string &) {}},
     {"malformed", [](std::string &it) { it.clear(); }},
     {"malformed", [](std::string &it) { it = "generation = 7"; }},
     {"malformed", [](std::string &it) { it.pop_back(); }},
@@ -70,7 +70,7 @@
     {"too large", [](std::string &it) { it.resize(MaxBundleBytes + 1); }},
 };
 
-/// A path that is removed at the end.
+/// A path whose file is removed at the start and at the end.
 struct ScratchFile {
   std::string Path = "/tmp/sorrelbay-key-" + std::to_string(getpid());
   ScratchFile() { std::remove(Path.c_str()); }
@@ -81,15 +81,15 @@
 
 BOOST_AUTO_TEST_SUITE(SignedBundleTests)
 
-BOOST_AUTO_TEST_CASE(bundle_survives_its_codec) {
+BOOST_AUTO_TEST_CASE(bundle_is_unchanged_by_its_codec) {
   const Bundle bundle = sampleBundle(7);
   BOOST_CHECK(decodeBundle(encodeBundle(bundle)) == bundle);
 }
 
-// Somebody on the way, or a peer gone wrong, changes a bundle or sends one that
-// no operator signed off. A daemon that took it would send traffic wherever the
-// forger likes.
-BOOST_DATA_TEST_CASE(only_signed_bundles_are_taken,
+// An attacker in the network or a faulty peer alters a bundle, or sends one
+// that no operator signed. A daemon that accepted it would send traffic to any
+// address chosen by the attacker.
+BOOST_DATA_TEST_CASE(only_signed_bundles_are_accepted,
                      boost::unit_test::data::make(TamperRows), row) {
   const SigningKey key = SigningKey::generate();
   SignedBundle bundle = signBundle(sampleBundle(7), key);
@@ -98,8 +98,9 @@
                     row.Outcome);
 }
 
-// Truncated, doubled or foreign bytes arrive where a signed bundle is expected.
-// A decoder that read them halfway would put half a bundle into force.
+// Truncated, duplicated or unrelated bytes arrive where a signed bundle is
+// expected. A decoder that accepted a part of them would put an incomplete
+// bundle into force.
 BOOST_DATA_TEST_CASE(only_whole_encodings_are_decoded,
                      boost::unit_test::data::make(BytesRows), row) {
   std::string bytes =
@@ -116,16 +117,16 @@
 }
 
 BOOST_AUTO_TEST_CASE(keys_are_rotated_with_two_accepted) {
-  const SigningKey older = SigningKey::generate();
-  const SigningKey newer = SigningKey::generate();
-  const std::vector<PublicKey> accepted{older.publicKey(), newer.publicKey()};
-  BOOST_CHECK(verifyBundle(signBundle(sampleBundle(7), older), accepted) ==
+  const SigningKey oldKey = SigningKey::generate();
+  const SigningKey newKey = SigningKey::generate();
+  const std::vector<PublicKey> accepted{oldKey.publicKey(), newKey.publicKey()};
+  BOOST_CHECK(verifyBundle(signBundle(sampleBundle(7), oldKey), accepted) ==
               sampleBundle(7));
-  BOOST_CHECK(verifyBundle(signBundle(sampleBundle(8), newer), accepted) ==
+  BOOST_CHECK(verifyBundle(signBundle(sampleBundle(8), newKey), accepted) ==
               sampleBundle(8));
 }
 
-BOOST_AUTO_TEST_CASE(key_survives_its_file_and_is_not_overwritten) {
+BOOST_AUTO_TEST_CASE(key_is_unchanged_by_its_file_and_not_overwritten) {
   const ScratchFile file;
   const SigningKey key = SigningKey::generate();
   key.save(file.Path);
@@ -136,8 +137,8 @@
   BOOST_CHECK_THROW(key.save(file.Path), KeyUnusable);
 }
 
-// A key file is copied with a lax mode. Every user of the machine could then
-// sign bundles that all daemons accept, and nobody would notice.
+// A key file is copied with too wide permissions. Every user of the machine
+// could then sign bundles that all daemons accept.
 BOOST_AUTO_TEST_CASE(key_that_others_may_read_is_refused) {
   const ScratchFile file;
   SigningKey::generate().save(file.Path);
--- a/Utilities/sorrelbay/BundleCheckCommand.cpp
+++ b/Utilities/sorrelbay/BundleCheckCommand.cpp
@@ -7,14 +7,14 @@
 
 static void check(const std::string &file) {
   const Bundle bundle = parseBundle(readFile(file), file);
-  printRemark(file + ": generation " + std::to_string(bundle.Generation) +
-              " is sound");
+  printNote(file + ": generation " + std::to_string(bundle.Generation) +
+            " is valid");
 }
 
 void addBundleCheck(CLI::App &parent) {
   auto file = std::make_shared<std::string>();
   CLI::App *command =
-      parent.add_subcommand("check", "Name every fault of a bundle file");
+      parent.add_subcommand("check", "Report all errors in a bundle file");
   command->add_option("FILE", *file, "The bundle in TOML")->required();
   command->callback([file] { check(*file); });
 }
--- a/Utilities/sorrelbay/BundleRollCommand.cpp
+++ b/Utilities/sorrelbay/BundleRollCommand.cpp
@@ -17,8 +17,8 @@
   const SignedBundle bundle = decodeSignedBundle(readFile(options.File));
   const ObjectApi api = connectObjectApi(options.Platform, PlatformTimeout);
   const RollResult result = rollBundle(api, bundle);
-  printRemark("generation " + std::to_string(result.Generation) +
-              (result.WasCurrent ? " was current already" : " is rolled"));
+  printNote("generation " + std::to_string(result.Generation) +
+            (result.WasCurrent ? " was already current" : " is now current"));
 }
 
 } // namespace
--- a/Utilities/sorrelbay/Commands.h
+++ b/Utilities/sorrelbay/Commands.h
@@ -6,12 +6,12 @@
 
 namespace sorrelbay {
 
-/// How long one call of the object API may take.
+/// The timeout of one call to the object API.
 constexpr Duration PlatformTimeout = seconds(5);
 
-/// Each adds its subcommand to the parent. The command runs while the command
-/// line is parsed; its failures leave as exceptions, and an outcome other than
-/// success is put into the exit code, which must outlive the parent.
+/// Each function adds a subcommand to the parent. The command runs while the
+/// command line is parsed. Errors are thrown; an outcome other than success is
+/// stored in the exit code, which must outlive the parent.
 void addBundleCheck(CLI::App &parent);
 void addBundleSign(CLI::App &parent);
 void addBundleRoll(CLI::App &parent);
--- a/Utilities/sorrelbay/ExitCode.h
+++ b/Utilities/sorrelbay/ExitCode.h
@@ -2,22 +2,22 @@
 
 namespace sorrelbay {
 
-/// What the tool's exit code tells a script; sorrelbay(1) lists them.
+/// The tool's exit codes; documented in sorrelbay(1).
 enum class ExitCode {
   Success = 0,
-  /// A fault of the tool itself.
+  /// An internal error of the tool.
   Failure = 1,
-  /// Wrong usage, or a file that was refused.
+  /// Wrong usage, or a file that can't be used.
   BadInput = 2,
   /// Another bundle is current; nothing was rolled.
   RollRefused = 3,
-  /// The platform can't be reached; nothing was rolled.
+  /// The platform is unavailable; nothing was rolled.
   Unavailable = 4,
   /// The bundle may or may not have been rolled.
   Unknown = 5,
-  /// `status --watch` saw a move end as taken back.
-  TakenBack = 6,
-  /// `explain`: no log names the call.
+  /// `status --watch`: a rollout was rolled back.
+  RolledBack = 6,
+  /// `explain`: no log mentions the call.
   NotFound = 7,
 };
 
--- a/Utilities/sorrelbay/ExplainCommand.cpp
+++ b/Utilities/sorrelbay/ExplainCommand.cpp
@@ -16,28 +16,28 @@
 
 ExitCode explain(const ExplainOptions &options) {
   std::vector<TimelineEntry> lines;
-  std::size_t unreadable = 0;
+  std::size_t unreadableCount = 0;
   for (const std::string &it : options.Files) {
     std::ifstream log(it);
     if (!log)
       throw FileUnusable(it + ": can't be read");
-    const std::vector<TimelineEntry> more =
-        readTimeline(log, options.CallId, unreadable);
-    lines.insert(lines.end(), more.begin(), more.end());
+    const std::vector<TimelineEntry> entries =
+        readTimeline(log, options.CallId, unreadableCount);
+    lines.insert(lines.end(), entries.begin(), entries.end());
   }
-  const CallTimeline story = buildTimeline(options.CallId, lines);
-  if (unreadable != 0)
-    printRemark(std::to_string(unreadable) + " lines can't be read");
-  if (story.Lines.empty()) {
-    std::cerr << "sorrelbay: no log names " << options.CallId << '\n';
+  const CallTimeline timeline = buildTimeline(options.CallId, lines);
+  if (unreadableCount != 0)
+    printNote(std::to_string(unreadableCount) + " log lines can't be parsed");
+  if (timeline.Lines.empty()) {
+    std::cerr << "sorrelbay: no log mentions call " << options.CallId << '\n';
     return ExitCode::NotFound;
   }
-  for (const std::string &it : story.Causes)
+  for (const std::string &it : timeline.Causes)
     std::cout << it << '\n';
-  if (story.Causes.empty())
+  if (timeline.Causes.empty())
     std::cout << options.CallId
-              << ": the logs name it, but no line tells its end\n";
-  for (const TimelineEntry &it : story.Lines)
+              << ": the logs mention the call but do not contain its end\n";
+  for (const TimelineEntry &it : timeline.Lines)
     std::cout << it.Text << '\n';
   return ExitCode::Success;
 }
@@ -47,7 +47,8 @@
 void addExplain(CLI::App &parent, ExitCode &exitCode) {
   auto options = std::make_shared<ExplainOptions>();
   CLI::App *command = parent.add_subcommand(
-      "explain", "Tell what became of a call by the daemons' logs");
+      "explain",
+      "Show the outcome of a call and its cause from the daemons' logs");
   command->add_option("ID", options->CallId, "The call's id")->required();
   command->add_option("FILE", options->Files, "Logs of one or more hosts")
       ->required();
--- a/Utilities/sorrelbay/KeysGenerateCommand.cpp
+++ b/Utilities/sorrelbay/KeysGenerateCommand.cpp
@@ -13,8 +13,9 @@
 void addKeysGenerate(CLI::App &parent) {
   auto out = std::make_shared<std::string>();
   CLI::App *command = parent.add_subcommand(
-      "generate", "Make a signing key and print its public half");
-  command->add_option("--out", *out, "Where the private key goes")->required();
+      "generate", "Generate a signing key and print its public key");
+  command->add_option("--out", *out, "The private key file to write")
+      ->required();
   command->callback([out] { generate(*out); });
 }
 
--- a/Utilities/sorrelbay/StatusCommand.cpp
+++ b/Utilities/sorrelbay/StatusCommand.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-/// Between two looks of a watch. A look costs one list and a read for each
-/// move, and the platform counts them all.
-constexpr auto WatchPause = seconds(1);
+/// The time between two polls of a watch. A poll makes one list call and one
+/// read per rollout, all of which the platform counts.
+constexpr auto PollInterval = seconds(1);
 
 struct StatusOptions {
   std::string Platform;
@@ -39,24 +39,24 @@
                         : renderTable(report, isColoured());
 }
 
-/// Prints the status whenever it changes, until all moves of the current
-/// bundle came to their ends. An outage in between is waited out: the moves go
-/// on without the object API.
+/// Prints the status whenever it changes, until all rollouts of the current
+/// bundle have ended. Keeps polling during an outage of the object API, since
+/// rollouts continue without it.
 ExitCode watch(const ObjectApi &api, const StatusOptions &options) {
-  std::string shown;
+  std::string printed;
   while (true) {
     try {
       const StatusReport report = readStatusReport(api);
       const std::string text = render(report, options);
-      if (text != shown)
+      if (text != printed)
         std::cout << text << std::flush;
-      shown = text;
+      printed = text;
       if (isSettled(report))
-        return hasRolledBack(report) ? ExitCode::TakenBack : ExitCode::Success;
+        return hasRolledBack(report) ? ExitCode::RolledBack : ExitCode::Success;
     } catch (const ObjectApiUnavailable &error) {
-      std::cerr << "sorrelbay: " << error.what() << "; looking again\n";
+      std::cerr << "sorrelbay: " << error.what() << "; retrying\n";
     }
-    std::this_thread::sleep_for(WatchPause);
+    std::this_thread::sleep_for(PollInterval);
   }
 }
 
@@ -73,14 +73,16 @@
 void addStatus(CLI::App &parent, ExitCode &exitCode) {
   auto options = std::make_shared<StatusOptions>();
   CLI::App *command = parent.add_subcommand(
-      "status", "Show the current bundle and where its moves stand");
+      "status", "Show the current bundle and the state of its rollouts");
   command
       ->add_option("--platform", options->Platform,
                    "The object API, as IP:PORT")
       ->required();
-  command->add_flag("--watch", options->IsWatching,
-                    "Show each change until all moves are done or taken back");
-  command->add_flag("--json", options->IsJson, "Print JSON, one line a look");
+  command->add_flag(
+      "--watch", options->IsWatching,
+      "Show each change until all rollouts are done or rolled back");
+  command->add_flag("--json", options->IsJson,
+                    "Print JSON, one line per status");
   command->callback([options, &exitCode] { exitCode = showStatus(*options); });
 }
 
--- a/Utilities/sorrelbay/StatusReport.cpp
+++ b/Utilities/sorrelbay/StatusReport.cpp
@@ -12,8 +12,8 @@
 constexpr const char *Green = "\033[32m";
 constexpr const char *Red = "\033[31m";
 constexpr const char *Yellow = "\033[33m";
-constexpr const char *Plain = "\033[0m";
-constexpr double MicrosPerUnit = 1e6;
+constexpr const char *Reset = "\033[0m";
+constexpr double MicrosPerCurrencyUnit = 1e6;
 constexpr std::size_t LineBytes = 512;
 
 const char *colourOf(MoveState state) {
@@ -25,10 +25,10 @@
   case MoveState::TakenBack:
     return Red;
   }
-  return Plain;
+  return Reset;
 }
 
-const char *wordsOf(MoveState state) {
+const char *labelOf(MoveState state) {
   return state == MoveState::TakenBack ? "taken back" : nameOf(state);
 }
 
@@ -50,20 +50,20 @@
          ", signed by key " + current->SignedBy.text() + "\n";
 }
 
-std::string moveLine(const MoveStatus &move, bool isColoured) {
+std::string rolloutLine(const MoveStatus &status, bool isColoured) {
   const std::string start =
-      formatLine("%-20s %-16s %10llu ", move.Version.text().c_str(),
-                 move.Service.text().c_str(),
-                 static_cast<unsigned long long>(move.Generation));
-  const std::string state = formatLine("%-10s", wordsOf(move.State));
+      formatLine("%-20s %-16s %10llu ", status.Version.text().c_str(),
+                 status.Service.text().c_str(),
+                 static_cast<unsigned long long>(status.Generation));
+  const std::string state = formatLine("%-10s", labelOf(status.State));
   const std::string end =
-      formatLine(" %5d %6.2f%% %-20s %10.4f %-20s ", move.Stage,
-                 100 * move.Share, timeOrDash(move.Deadline).c_str(),
-                 static_cast<double>(move.Cost) / MicrosPerUnit,
-                 timeOrDash(move.Since).c_str());
+      formatLine(" %5d %6.2f%% %-20s %10.4f %-20s ", status.Stage,
+                 100 * status.Share, timeOrDash(status.Deadline).c_str(),
+                 static_cast<double>(status.Cost) / MicrosPerCurrencyUnit,
+                 timeOrDash(status.Since).c_str());
   if (!isColoured)
-    return start + state + end + move.Reason + "\n";
-  return start + colourOf(move.State) + state + Plain + end + move.Reason +
+    return start + state + end + status.Reason + "\n";
+  return start + colourOf(status.State) + state + Reset + end + status.Reason +
          "\n";
 }
 
@@ -83,12 +83,12 @@
 std::string renderTable(const StatusReport &report, bool isColoured) {
   std::string out = bundleLine(report.Current);
   if (report.Moves.empty())
-    return out + "no moves\n";
+    return out + "no rollouts\n";
   out += formatLine("%-20s %-16s %10s %-10s %5s %7s %-20s %10s %-20s %s\n",
                     "VERSION", "SERVICE", "GENERATION", "STATE", "STAGE",
                     "SHARE", "DEADLINE", "COST", "SINCE", "REASON");
   for (const MoveStatus &it : report.Moves) {
-    out += moveLine(it, isColoured);
+    out += rolloutLine(it, isColoured);
     for (const RouteEvidence &evidence : it.Evidence)
       out += evidenceLine(evidence);
   }
--- a/Utilities/sorrelbay/StatusReport.h
+++ b/Utilities/sorrelbay/StatusReport.h
@@ -8,21 +8,21 @@
 
 namespace sorrelbay {
 
-/// All that `sorrelbay status` shows.
+/// The content of `sorrelbay status`.
 struct StatusReport {
   std::optional<CurrentBundle> Current;
   std::vector<MoveStatus> Moves;
 };
 
-/// Reads it from the object API. Throws ObjectApiUnavailable or
+/// Reads the report from the object API. Throws ObjectApiUnavailable or
 /// MoveStatusMalformed.
 StatusReport readStatusReport(const ObjectApi &api);
 
-/// A table for people, with a line for each move and one for each route's
-/// evidence below it.
+/// Renders a table with a line for each rollout, followed by a line of evidence
+/// for each route.
 std::string renderTable(const StatusReport &report, bool isColoured);
 
-/// One JSON object on one line, for scripts.
+/// Renders a JSON object on one line, for scripts.
 std::string renderJson(const StatusReport &report);
 
 } // namespace sorrelbay
--- a/Utilities/sorrelbay/Terminal.cpp
+++ b/Utilities/sorrelbay/Terminal.cpp
@@ -12,7 +12,7 @@
   return isTerminal() && (noColour == nullptr || *noColour == '\0');
 }
 
-void printRemark(const std::string &text) {
+void printNote(const std::string &text) {
   if (isTerminal())
     std::cout << text << '\n';
 }
--- a/Utilities/sorrelbay/Terminal.h
+++ b/Utilities/sorrelbay/Terminal.h
@@ -4,14 +4,13 @@
 
 namespace sorrelbay {
 
-/// Whether a person reads the output: standard output is a terminal. A pipe
-/// gets data only.
+/// Whether standard output is a terminal. Output to a pipe contains data only.
 bool isTerminal();
 
-/// Whether to write in colour: to a terminal, unless NO_COLOR is set.
+/// Whether to print in colour: on a terminal, unless NO_COLOR is set.
 bool isColoured();
 
-/// Prints a remark for a person, and nothing into a pipe.
-void printRemark(const std::string &text);
+/// Prints a line if standard output is a terminal; otherwise prints nothing.
+void printNote(const std::string &text);
 
 } // namespace sorrelbay
--- a/Utilities/sorrelbay/WholeFile.cpp
+++ b/Utilities/sorrelbay/WholeFile.cpp
@@ -15,13 +15,13 @@
     throw FileUnusable(path + ": can't be read");
   bytes.resize(static_cast<std::size_t>(in.gcount()));
   if (bytes.size() > MaxFileBytes)
-    throw FileUnusable(path + ": is larger than any bundle");
+    throw FileUnusable(path + ": is larger than the maximum size");
   return bytes;
 }
 
 void writeFile(const std::string &path, const std::string &bytes) {
-  // Another command may read the file at any moment; renamed into place, it is
-  // never seen half written.
+  // Another command may read the file at any time. Renaming a temporary file
+  // ensures that it never reads a partially written one.
   const std::string partial = path + ".partial";
   std::ofstream out(partial, std::ios::binary | std::ios::trunc);
   out << bytes;
--- a/Utilities/sorrelbay/WholeFile.h
+++ b/Utilities/sorrelbay/WholeFile.h
@@ -5,17 +5,17 @@
 
 namespace sorrelbay {
 
-/// A file named on the command line can't be read or written.
+/// A file given on the command line can't be read or written.
 class FileUnusable : public Error {
 public:
   using Error::Error;
 };
 
-/// All bytes of the file. Throws FileUnusable, also for files larger than any
-/// that the tool reads.
+/// Reads the whole file. Throws FileUnusable, also if the file is larger than
+/// 4 MiB.
 std::string readFile(const std::string &path);
 
-/// Writes the file as a whole or not at all. Throws FileUnusable.
+/// Writes the file atomically. Throws FileUnusable.
 void writeFile(const std::string &path, const std::string &bytes);
 
 } // namespace sorrelbay
--- a/Utilities/sorrelbay/main.cpp
+++ b/Utilities/sorrelbay/main.cpp
@@ -18,20 +18,20 @@
   addBundleCheck(*bundle);
   addBundleSign(*bundle);
   addBundleRoll(*bundle);
-  CLI::App *keys = app.add_subcommand("keys", "Make signing keys");
+  CLI::App *keys = app.add_subcommand("keys", "Generate signing keys");
   keys->require_subcommand(1);
   addKeysGenerate(*keys);
   addStatus(app, exitCode);
   addExplain(app, exitCode);
 }
 
-ExitCode complain(const std::exception &error, ExitCode exitCode) {
+ExitCode printError(const std::exception &error, ExitCode exitCode) {
   std::cerr << "sorrelbay: " << error.what() << '\n';
   return exitCode;
 }
 
-/// The library's own codes are above 100 and differ by fault; a script is told
-/// only that the usage was wrong.
+/// Parses the command line. CLI11's own exit codes are above 100 and differ by
+/// error; scripts get a single code for wrong usage.
 ExitCode parse(CLI::App &app, int argc, char **argv, ExitCode &exitCode) {
   try {
     app.parse(argc, argv);
@@ -42,7 +42,7 @@
 }
 
 ExitCode run(int argc, char **argv) {
-  CLI::App app("Operates a sorrelbay system", "sorrelbay");
+  CLI::App app("Operate a sorrelbay system", "sorrelbay");
   ExitCode exitCode = ExitCode::Success;
   addCommands(app, exitCode);
   try {
@@ -51,19 +51,19 @@
     std::cerr << error.what() << '\n';
     return ExitCode::BadInput;
   } catch (const BundleRefused &error) {
-    return complain(error, ExitCode::BadInput);
+    return printError(error, ExitCode::BadInput);
   } catch (const KeyUnusable &error) {
-    return complain(error, ExitCode::BadInput);
+    return printError(error, ExitCode::BadInput);
   } catch (const FileUnusable &error) {
-    return complain(error, ExitCode::BadInput);
+    return printError(error, ExitCode::BadInput);
   } catch (const RollRefused &error) {
-    return complain(error, ExitCode::RollRefused);
+    return printError(error, ExitCode::RollRefused);
   } catch (const ObjectApiUnavailable &error) {
-    return complain(error, ExitCode::Unavailable);
+    return printError(error, ExitCode::Unavailable);
   } catch (const WriteOutcomeUnknown &error) {
-    return complain(error, ExitCode::Unknown);
+    return printError(error, ExitCode::Unknown);
   } catch (const std::exception &error) {
-    return complain(error, ExitCode::Failure);
+    return printError(error, ExitCode::Failure);
   }
 }
 
