--- a/Tests/LibObjectApi/TestResourceWatcher.cpp
+++ b/Tests/LibObjectApi/TestResourceWatcher.cpp
@@ -22,14 +22,14 @@
     store.List = [this](ResourceKind,
                         const StoreCallback<ResourceListing> &done) {
       ++Lists;
-      Listed = done;
+      CompleteList = done;
     };
     store.Watch = [this](ResourceKind, std::uint64_t after, Duration waitLimit,
                          const StoreCallback<ResourceChanges> &done) {
       ++Watches;
       LastWaitLimit = waitLimit;
       After = after;
-      Watched = done;
+      CompleteWatch = done;
     };
     ResourceWatcherHooks hooks;
     hooks.OnObject = [this](const Resource &it) { Seen[it.Name] = it.Body; };
@@ -48,7 +48,7 @@
     Watcher->start();
     StoreResult<ResourceListing> listing;
     listing.Got = ResourceListing{{{"a", "1", "", 5}}, 10};
-    Listed(listing);
+    CompleteList(listing);
     if (!fresh)
       Watcher->tick(bootNow() + settings.WaitLimit * settings.SilentWaitLimits +
                     milliseconds(1));
@@ -77,8 +77,8 @@
   Duration LastWaitLimit{};
   /// The first and last revision of each batch of relayed changes.
   std::vector<std::pair<std::uint64_t, std::uint64_t>> Relayed;
-  StoreCallback<ResourceListing> Listed;
-  StoreCallback<ResourceChanges> Watched;
+  StoreCallback<ResourceListing> CompleteList;
+  StoreCallback<ResourceChanges> CompleteWatch;
   int Lists = 0;
   int Watches = 0;
   std::uint64_t After = 0;
@@ -106,9 +106,9 @@
   fixture.Watcher->receive(
       WatcherFixture::relayed(10, 12, {changed("b", "2", 12)}), bootNow());
   BOOST_TEST(fixture.Seen.at("b") == "2");
-  StoreResult<ResourceChanges> late;
-  late.Got = ResourceChanges{{changed("b", "old", 11)}, 11};
-  fixture.Watched(late);
+  StoreResult<ResourceChanges> delayedResult;
+  delayedResult.Got = ResourceChanges{{changed("b", "old", 11)}, 11};
+  fixture.CompleteWatch(delayedResult);
   // The older response reverts nothing, and no further call follows.
   BOOST_TEST(fixture.Seen.at("b") == "2");
   BOOST_TEST(fixture.Watches == 1);
@@ -155,13 +155,13 @@
   fixture.Watcher->receive(first, bootNow());
   fixture.Watcher->receive(first, bootNow());
   BOOST_TEST(fixture.Relayed.size() == 1);
-  RelayedChanges unanswered = WatcherFixture::relayed(12, 12, {});
-  unanswered.Echo = 0;
-  fixture.Watcher->receive(unanswered, bootNow());
+  RelayedChanges unconfirmed = WatcherFixture::relayed(12, 12, {});
+  unconfirmed.Echo = 0;
+  fixture.Watcher->receive(unconfirmed, bootNow());
   BOOST_TEST(fixture.Relayed.size() == 1);
-  RelayedChanges younger = WatcherFixture::relayed(12, 12, {});
-  younger.Age = Duration::zero();
-  fixture.Watcher->receive(younger, bootNow());
+  RelayedChanges newer = WatcherFixture::relayed(12, 12, {});
+  newer.Age = Duration::zero();
+  fixture.Watcher->receive(newer, bootNow());
   BOOST_TEST(fixture.Relayed.size() == 2);
 }
 
@@ -171,13 +171,13 @@
   ResourceWatcherSettings settings;
   WatcherFixture fixture(false, settings);
   fixture.Watcher->receive(WatcherFixture::relayed(10, 12, {}), bootNow());
-  fixture.Watched({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
+  fixture.CompleteWatch({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
   BOOST_TEST(fixture.Watches == 1);
   fixture.IsPolling = true;
   fixture.Watcher->tick(bootNow() + milliseconds(100));
   BOOST_TEST(fixture.Watches == 2);
   BOOST_TEST((fixture.LastWaitLimit == settings.FirstWaitLimit));
-  fixture.Watched({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
+  fixture.CompleteWatch({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
   BOOST_TEST(fixture.Watches == 3);
   BOOST_TEST((fixture.LastWaitLimit == settings.WaitLimit));
 }
@@ -186,10 +186,10 @@
 // were not relayed, each host would detect a gap and list as well.
 BOOST_AUTO_TEST_CASE(changes_found_by_a_new_list_are_relayed) {
   WatcherFixture fixture(true);
-  fixture.Watched({{}, StoreFailure::HistoryGone});
+  fixture.CompleteWatch({{}, StoreFailure::HistoryGone});
   fixture.Loop.run_for(milliseconds(20));
   BOOST_TEST(fixture.Lists == 2);
-  fixture.Listed({ResourceListing{{{"b", "2", "", 30}}, 40}, {}});
+  fixture.CompleteList({ResourceListing{{{"b", "2", "", 30}}, 40}, {}});
   BOOST_TEST(fixture.Seen.count("a") == 0);
   BOOST_TEST(fixture.Relayed.size() == 1);
   BOOST_TEST(fixture.Relayed.front().first == 10);
@@ -208,17 +208,17 @@
     fixture.IsProber = probes;
     fixture.IsUnreached = true;
     const Instant failedAt = bootNow();
-    const Duration rest = settings.WaitLimit * settings.SilentWaitLimits;
-    fixture.Watched({{}, StoreFailure::Unavailable});
-    fixture.Watcher->tick(failedAt + rest - milliseconds(100));
+    const Duration maxSilence = settings.WaitLimit * settings.SilentWaitLimits;
+    fixture.CompleteWatch({{}, StoreFailure::Unavailable});
+    fixture.Watcher->tick(failedAt + maxSilence - milliseconds(100));
     BOOST_TEST(fixture.Watches == 1);
-    fixture.Watcher->tick(failedAt + rest + milliseconds(100));
+    fixture.Watcher->tick(failedAt + maxSilence + milliseconds(100));
     BOOST_TEST(fixture.Watches == (probes ? 2 : 1));
     if (probes)
       continue;
     // Another watcher has reached the store again.
     fixture.IsUnreached = false;
-    fixture.Watcher->tick(failedAt + rest + milliseconds(200));
+    fixture.Watcher->tick(failedAt + maxSilence + milliseconds(200));
     BOOST_TEST(fixture.Watches == 2);
   }
 }
@@ -228,7 +228,7 @@
 BOOST_AUTO_TEST_CASE(a_host_cut_off_from_the_store_detects_its_recovery) {
   WatcherFixture fixture(false);
   fixture.Watcher->receive(WatcherFixture::relayed(10, 12, {}), bootNow());
-  fixture.Watched({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
+  fixture.CompleteWatch({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
   fixture.IsUnreached = true;
   const Instant later = bootNow() + milliseconds(1900);
   fixture.Watcher->receive(WatcherFixture::relayed(12, 13, {}), later);
@@ -243,7 +243,7 @@
 BOOST_AUTO_TEST_CASE(silence_of_the_reporter_leads_to_a_query) {
   WatcherFixture fixture(false);
   fixture.Watcher->receive(WatcherFixture::relayed(10, 12, {}), bootNow());
-  fixture.Watched({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
+  fixture.CompleteWatch({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
   BOOST_TEST(fixture.Watches == 1);
   fixture.Watcher->tick(bootNow() + seconds(3));
   BOOST_TEST(fixture.Watches == 2);
@@ -258,7 +258,7 @@
   fixture.Watcher->receive(WatcherFixture::relayed(10, 12, {}, seconds(20)),
                            bootNow());
   BOOST_TEST((fixture.Confirmed <= before + milliseconds(100)));
-  fixture.Watched({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
+  fixture.CompleteWatch({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
   const Instant own = fixture.Confirmed;
   fixture.Watcher->receive(WatcherFixture::relayed(12, 14, {}, seconds(20)),
                            bootNow());
@@ -268,7 +268,7 @@
 BOOST_AUTO_TEST_CASE(a_gap_in_relayed_changes_leads_to_a_query) {
   WatcherFixture fixture(false);
   fixture.Watcher->receive(WatcherFixture::relayed(10, 12, {}), bootNow());
-  fixture.Watched({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
+  fixture.CompleteWatch({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
   BOOST_TEST(fixture.Watches == 1);
   fixture.Watcher->receive(
       WatcherFixture::relayed(20, 22, {changed("c", "3", 22)}), bootNow());
@@ -288,7 +288,7 @@
   settings.StaleWaitLimits = 100;
   WatcherFixture fixture(false, settings);
   fixture.Watcher->receive(WatcherFixture::relayed(10, 12, {}), bootNow());
-  fixture.Watched({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
+  fixture.CompleteWatch({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
   for (std::uint64_t n = 12; n < 18; ++n) {
     std::this_thread::sleep_for(milliseconds(100));
     fixture.Watcher->receive(WatcherFixture::relayed(n, n + 1, {}), bootNow());
@@ -297,7 +297,7 @@
   large.IsTruncated = true;
   fixture.Watcher->receive(large, bootNow());
   BOOST_TEST(fixture.Watches == 2);
-  fixture.Watched({ResourceChanges{{removed("a", 19)}, 20}, {}});
+  fixture.CompleteWatch({ResourceChanges{{removed("a", 19)}, 20}, {}});
   BOOST_TEST(fixture.Seen.count("a") == 0);
 }
 
@@ -323,13 +323,13 @@
   ResourceWatcherSettings settings;
   settings.BatchDelay = milliseconds(20);
   WatcherFixture fixture(true, settings);
-  fixture.Watched({ResourceChanges{{changed("b", "1", 12)}, 12}, {}});
+  fixture.CompleteWatch({ResourceChanges{{changed("b", "1", 12)}, 12}, {}});
   BOOST_TEST(fixture.Watches == 1);
   fixture.Loop.run();
   BOOST_TEST(fixture.Watches == 2);
   BOOST_TEST(fixture.After == 12);
   // Without changes the next watch is not delayed.
-  fixture.Watched({ResourceChanges{{}, 13}, {}});
+  fixture.CompleteWatch({ResourceChanges{{}, 13}, {}});
   BOOST_TEST(fixture.Watches == 3);
 }
 
@@ -337,7 +337,7 @@
   WatcherFixture fixture(true);
   for (int n = 0; n < 3; ++n) {
     fixture.Watcher->receive(WatcherFixture::relayed(10, 12, {}), bootNow());
-    fixture.Watched({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
+    fixture.CompleteWatch({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
   }
   BOOST_TEST(fixture.Watches == 4);
 }
--- a/Tests/LibOperator/TestBundleRoll.cpp
+++ b/Tests/LibOperator/TestBundleRoll.cpp
@@ -35,7 +35,7 @@
 };
 
 void loseReply() { throw WriteOutcomeUnknown("the reply was lost"); }
-void refuse() { throw ObjectApiUnavailable("down"); }
+void failUnavailable() { throw ObjectApiUnavailable("down"); }
 
 } // namespace
 
@@ -94,8 +94,8 @@
 // failure were reported, the operator would take the old bundle to be current.
 BOOST_AUTO_TEST_CASE(outage_after_a_lost_reply_stays_unknown) {
   CurrentObject.AfterWrite = [this] {
-    CurrentObject.BeforeRead = refuse;
-    CurrentObject.BeforeWrite = refuse;
+    CurrentObject.BeforeRead = failUnavailable;
+    CurrentObject.BeforeWrite = failUnavailable;
     loseReply();
   };
   BOOST_CHECK_THROW(roll(7), WriteOutcomeUnknown);
@@ -104,7 +104,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(outage_before_the_write_is_no_roll) {
-  CurrentObject.BeforeWrite = refuse;
+  CurrentObject.BeforeWrite = failUnavailable;
   BOOST_CHECK_THROW(roll(7), ObjectApiUnavailable);
   BOOST_CHECK_EQUAL(current(), 0);
 }
