--- a/Libraries/LibOperator/CallTimeline.cpp
+++ b/Libraries/LibOperator/CallTimeline.cpp
@@ -32,7 +32,7 @@
 
 /// docs/OPERATIONS.md lists the same causes.
 const CauseDescription CauseDescriptions[] = {
-    {"no_plan_yet", "the host had not received a configuration yet"},
+    {"no_plan_yet", "the process had not received a configuration yet"},
     {"no_route", "the plan in force has no route for the call"},
     {"no_such_key", "no team of the plan in force has the caller's key"},
     {"no_route_and_plan_stale", "the host's plan has no route for the call, "
@@ -50,7 +50,7 @@
     {"upstream_turned_away",
      "the upstream rejected the call without running it"},
     {"upstream_broke_off",
-     "the upstream closed the connection; the call may have run"},
+     "the connection to the upstream was lost; the call may have run"},
     {"upstream_truncated",
      "the upstream's response was truncated; the call may have run"},
     {"deadline", "the deadline of the call passed"},
--- a/Tests/LibOperator/TestCallTimeline.cpp
+++ b/Tests/LibOperator/TestCallTimeline.cpp
@@ -42,7 +42,8 @@
       cause.find("x1 ended with outcome refused, status 502 on host a after "
                  "2002 ms") == 0);
   BOOST_TEST(
-      cause.find("the upstream closed the connection; the call may have run") !=
+      cause.find(
+          "the connection to the upstream was lost; the call may have run") !=
       std::string::npos);
   BOOST_TEST(cause.find("at upstream u1, 2 other calls failed there in that "
                         "period, on 2 hosts") != std::string::npos);
