--- a/Utilities/sorrelbay-bench/Admission.cpp
+++ b/Utilities/sorrelbay-bench/Admission.cpp
@@ -23,7 +23,7 @@
 const Deployment Deployments[] = {{"Tablón Sur", 9, 6}, {"Caltagirone", 12, 7}};
 
 /// Who asks: the share of the offered load, and what is asked.
-struct Source {
+struct LoadSource {
   const char *Team;
   /// Of what the engines can take.
   double Load;
@@ -34,7 +34,7 @@
 
 /// Twice the capacity: two large teams send most of it, three small ones stay
 /// below an even share, and one of them also sends alarms.
-const Source Sources[] = {
+const LoadSource LoadSources[] = {
     {"large 1", 0.95, 0, milliseconds(1500), false},
     {"large 2", 0.70, 0, milliseconds(1500), false},
     {"small 1", 0.10, 0, milliseconds(1500), true},
@@ -44,16 +44,16 @@
 };
 
 constexpr double MeanService = 0.25;
-constexpr Duration Way = milliseconds(1);
-constexpr Duration RunFor = minutes(5);
+constexpr Duration OneWayLatency = milliseconds(1);
+constexpr Duration SimulatedSpan = minutes(5);
 constexpr Duration WarmUp = minutes(1);
-constexpr Duration TickEvery = milliseconds(50);
-constexpr int MostAttempts = 4;
+constexpr Duration AdmissionTickPeriod = milliseconds(50);
+constexpr int MaxCallAttempts = 4;
 /// A caller that hears nothing by its deadline asks again after this.
-constexpr Duration RepeatAfter = milliseconds(500);
+constexpr Duration CallerRetryDelay = milliseconds(500);
 /// First tokens that each engine owes at once; enough to keep it busy, few
 /// enough that what is sent starts soon.
-constexpr double OpenPerReplica = 1.5;
+constexpr double CallSlotsPerReplica = 1.5;
 
 struct Call {
   std::uint64_t Id = 0;
@@ -66,12 +66,12 @@
 };
 
 /// One engine: prompts one after the other.
-struct EngineStandIn {
+struct SimulatedEngine {
   Instant FreeAt{};
 };
 
 /// What a policy does at one entry host.
-struct Gate {
+struct EntryQueue {
   std::function<std::vector<AdmissionAction>(const QueuedCall &, Instant)>
       Arrive;
   std::function<std::vector<AdmissionAction>(std::uint64_t, Instant)> Finish;
@@ -80,49 +80,51 @@
   std::function<std::vector<AdmissionAction>(std::uint64_t, Instant)> Cancel;
 };
 
-int placesOf(const Deployment &deployment) {
-  return std::max(1, static_cast<int>(OpenPerReplica * deployment.Replicas /
-                                      deployment.EntryHosts));
+int callSlotsOf(const Deployment &deployment) {
+  return std::max(1,
+                  static_cast<int>(CallSlotsPerReplica * deployment.Replicas /
+                                   deployment.EntryHosts));
 }
 
-Gate fifoGate(const Deployment &deployment, bool dropsGone) {
+EntryQueue fifoQueue(const Deployment &deployment, bool dropsDisconnected) {
   struct State {
-    std::deque<std::uint64_t> Waiting;
-    int Free;
+    std::deque<std::uint64_t> WaitingCalls;
+    int FreeSlots;
   };
   const auto state = std::make_shared<State>();
-  state->Free = placesOf(deployment);
+  state->FreeSlots = callSlotsOf(deployment);
   const auto startNext = [state] {
     std::vector<AdmissionAction> actions;
-    while (state->Free > 0 && !state->Waiting.empty()) {
-      actions.push_back({AdmissionKind::Start, state->Waiting.front(),
+    while (state->FreeSlots > 0 && !state->WaitingCalls.empty()) {
+      actions.push_back({AdmissionKind::Start, state->WaitingCalls.front(),
                          AdmissionRefusalCause::None, Duration{}});
-      state->Waiting.pop_front();
-      --state->Free;
+      state->WaitingCalls.pop_front();
+      --state->FreeSlots;
     }
     return actions;
   };
   return {[state, startNext](const QueuedCall &call, Instant) {
-            state->Waiting.push_back(call.Id);
+            state->WaitingCalls.push_back(call.Id);
             return startNext();
           },
           [state, startNext](std::uint64_t, Instant) {
-            ++state->Free;
+            ++state->FreeSlots;
             return startNext();
           },
           [](Instant) { return std::vector<AdmissionAction>(); },
-          [state, dropsGone](std::uint64_t id, Instant) {
-            if (dropsGone)
-              state->Waiting.erase(
-                  std::remove(state->Waiting.begin(), state->Waiting.end(), id),
-                  state->Waiting.end());
+          [state, dropsDisconnected](std::uint64_t id, Instant) {
+            if (dropsDisconnected)
+              state->WaitingCalls.erase(std::remove(state->WaitingCalls.begin(),
+                                                    state->WaitingCalls.end(),
+                                                    id),
+                                        state->WaitingCalls.end());
             return std::vector<AdmissionAction>();
           }};
 }
 
-Gate admissionGate(const Deployment &deployment) {
+EntryQueue admissionQueue(const Deployment &deployment) {
   AdmissionSettings settings;
-  settings.CallSlots = placesOf(deployment);
+  settings.CallSlots = callSlotsOf(deployment);
   settings.InitialDrainRate =
       deployment.Replicas / MeanService / deployment.EntryHosts;
   const auto admission = std::make_shared<Admission>(settings);
@@ -140,17 +142,17 @@
 
 struct Policy {
   const char *Name;
-  std::function<Gate(const Deployment &)> Make;
+  std::function<EntryQueue(const Deployment &)> Make;
 };
 
 struct Outcome {
   double UsefulSeconds = 0;
-  std::array<int, std::size(Sources)> Asked{};
-  std::array<int, std::size(Sources)> InTime{};
-  std::array<int, std::size(Sources)> InTimeAtOnce{};
+  std::array<int, std::size(LoadSources)> OfferedCount{};
+  std::array<int, std::size(LoadSources)> InTime{};
+  std::array<int, std::size(LoadSources)> InTimeAtFirst{};
   double Refused = 0;
   double RefusedOnArrival = 0;
-  std::map<std::int64_t, int> ReturnsBySecond;
+  std::map<std::int64_t, int> RetriesBySecond;
 };
 
 /// One run: calls come to the entry hosts at twice the engines' capacity;
@@ -159,17 +161,17 @@
 class Run {
 public:
   Run(const Deployment &deployment, const Policy &policy, std::uint64_t seed)
-      : On(deployment), Random(seed),
+      : ModeledDeployment(deployment), Random(seed),
         Engines(static_cast<std::size_t>(deployment.Replicas)) {
-    for (int n = 0; n < On.EntryHosts; ++n)
-      Gates.push_back(policy.Make(On));
+    for (int n = 0; n < ModeledDeployment.EntryHosts; ++n)
+      EntryQueues.push_back(policy.Make(ModeledDeployment));
   }
 
   Outcome run() {
-    for (std::size_t n = 0; n < std::size(Sources); ++n)
+    for (std::size_t n = 0; n < std::size(LoadSources); ++n)
       arrive(n);
     tick();
-    Queue.runUntil(Instant(RunFor));
+    Queue.runUntil(Instant(SimulatedSpan));
     return Result;
   }
 
@@ -181,65 +183,69 @@
   }
 
   void arrive(std::size_t from) {
-    const double rate = Sources[from].Load * On.Replicas / MeanService;
-    Queue.at(Queue.now() + fromSeconds(exponential(1 / rate)), [this, from] {
-      Call call;
-      call.From = from;
-      // Prompts differ by a factor of three.
-      call.ServiceSeconds = std::uniform_real_distribution<double>(
-          MeanService / 2, MeanService * 1.5)(Random);
-      if (isCounted())
-        ++Result.Asked[from];
-      ask(call);
-      arrive(from);
-    });
+    const double rate =
+        LoadSources[from].Load * ModeledDeployment.Replicas / MeanService;
+    Queue.scheduleAt(
+        Queue.now() + fromSeconds(exponential(1 / rate)), [this, from] {
+          Call call;
+          call.From = from;
+          // Prompts differ by a factor of three.
+          call.ServiceSeconds = std::uniform_real_distribution<double>(
+              MeanService / 2, MeanService * 1.5)(Random);
+          if (isCounted())
+            ++Result.OfferedCount[from];
+          sendCall(call);
+          arrive(from);
+        });
   }
 
-  void ask(Call call) {
-    const Source &source = Sources[call.From];
+  void sendCall(Call call) {
+    const LoadSource &source = LoadSources[call.From];
     call.Id = ++LastId;
-    call.EntryHost = Random() % Gates.size();
+    call.EntryHost = Random() % EntryQueues.size();
     call.ArrivedAt = Queue.now();
     call.Deadline = Queue.now() + source.Deadline;
     Calls[call.Id] = call;
     const std::uint64_t id = call.Id;
-    Queue.at(call.Deadline, [this, id] { giveUp(id); });
-    take(call.EntryHost, Gates[call.EntryHost].Arrive(
-                             {id, TeamId(source.Team), source.Priority,
-                              call.ServiceSeconds / MeanService, call.Deadline},
-                             Queue.now()));
+    Queue.scheduleAt(call.Deadline, [this, id] { expireCall(id); });
+    performActions(call.EntryHost,
+                   EntryQueues[call.EntryHost].Arrive(
+                       {id, TeamId(source.Team), source.Priority,
+                        call.ServiceSeconds / MeanService, call.Deadline},
+                       Queue.now()));
   }
 
-  void askAgain(Call call, Duration after) {
-    if (++call.Attempt > MostAttempts)
+  void retryCall(Call call, Duration after) {
+    if (++call.Attempt > MaxCallAttempts)
       return;
-    Queue.at(Queue.now() + after, [this, call] {
-      ++Result.ReturnsBySecond[toMilliseconds(Queue.now().time_since_epoch()) /
+    Queue.scheduleAt(Queue.now() + after, [this, call] {
+      ++Result.RetriesBySecond[toMilliseconds(Queue.now().time_since_epoch()) /
                                1000];
-      ask(call);
+      sendCall(call);
     });
   }
 
   /// The caller hears nothing by its deadline. What has been started for it is
   /// worked on to the end.
-  void giveUp(std::uint64_t id) {
+  void expireCall(std::uint64_t id) {
     const auto found = Calls.find(id);
     if (found == Calls.end() || Answered.count(id) != 0)
       return;
     const std::size_t host = found->second.EntryHost;
     if (Started.count(id) == 0)
-      take(host, Gates[host].Cancel(id, Queue.now()));
-    askAgain(found->second, RepeatAfter);
+      performActions(host, EntryQueues[host].Cancel(id, Queue.now()));
+    retryCall(found->second, CallerRetryDelay);
   }
 
-  void take(std::size_t host, const std::vector<AdmissionAction> &actions) {
+  void performActions(std::size_t host,
+                      const std::vector<AdmissionAction> &actions) {
     for (const AdmissionAction &it : actions) {
       const Call call = Calls[it.CallId];
       if (it.Kind == AdmissionKind::Refuse) {
         Answered.insert(call.Id);
         if (isCounted())
           countRefused(call);
-        askAgain(call, it.RetryAfter);
+        retryCall(call, it.RetryAfter);
         continue;
       }
       start(host, call);
@@ -254,16 +260,16 @@
 
   void start(std::size_t host, const Call &call) {
     Started.insert(call.Id);
-    EngineStandIn &engine =
-        *std::min_element(Engines.begin(), Engines.end(),
-                          [](const EngineStandIn &a, const EngineStandIn &b) {
-                            return a.FreeAt < b.FreeAt;
-                          });
-    engine.FreeAt = std::max(engine.FreeAt, Queue.now() + Way) +
+    SimulatedEngine &engine = *std::min_element(
+        Engines.begin(), Engines.end(),
+        [](const SimulatedEngine &a, const SimulatedEngine &b) {
+          return a.FreeAt < b.FreeAt;
+        });
+    engine.FreeAt = std::max(engine.FreeAt, Queue.now() + OneWayLatency) +
                     fromSeconds(call.ServiceSeconds);
-    Queue.at(engine.FreeAt + Way, [this, host, call] {
+    Queue.scheduleAt(engine.FreeAt + OneWayLatency, [this, host, call] {
       finish(call);
-      take(host, Gates[host].Finish(call.Id, Queue.now()));
+      performActions(host, EntryQueues[host].Finish(call.Id, Queue.now()));
     });
   }
 
@@ -276,20 +282,20 @@
     Result.UsefulSeconds += call.ServiceSeconds;
     ++Result.InTime[call.From];
     if (call.Attempt == 1)
-      ++Result.InTimeAtOnce[call.From];
+      ++Result.InTimeAtFirst[call.From];
   }
 
   void tick() {
-    for (std::size_t n = 0; n < Gates.size(); ++n)
-      take(n, Gates[n].Tick(Queue.now()));
-    Queue.at(Queue.now() + TickEvery, [this] { tick(); });
+    for (std::size_t n = 0; n < EntryQueues.size(); ++n)
+      performActions(n, EntryQueues[n].Tick(Queue.now()));
+    Queue.scheduleAt(Queue.now() + AdmissionTickPeriod, [this] { tick(); });
   }
 
-  const Deployment &On;
+  const Deployment &ModeledDeployment;
   std::mt19937_64 Random;
   EventQueue Queue;
-  std::vector<EngineStandIn> Engines;
-  std::vector<Gate> Gates;
+  std::vector<SimulatedEngine> Engines;
+  std::vector<EntryQueue> EntryQueues;
   std::map<std::uint64_t, Call> Calls;
   std::set<std::uint64_t> Started;
   std::set<std::uint64_t> Answered;
@@ -297,34 +303,35 @@
   Outcome Result;
 };
 
-using CountBySource = std::array<int, std::size(Sources)>;
+using CountBySource = std::array<int, std::size(LoadSources)>;
 
-double percent(const CountBySource &answered, const CountBySource &asked,
-               const std::function<bool(const Source &)> &counts) {
+double percent(const CountBySource &answered,
+               const CountBySource &offeredCounts,
+               const std::function<bool(const LoadSource &)> &counts) {
   double all = 0;
   double part = 0;
-  for (std::size_t n = 0; n < std::size(Sources); ++n) {
-    if (!counts(Sources[n]))
+  for (std::size_t n = 0; n < std::size(LoadSources); ++n) {
+    if (!counts(LoadSources[n]))
       continue;
-    all += asked[n];
+    all += offeredCounts[n];
     part += answered[n];
   }
   return all > 0 ? 100 * part / all : 0;
 }
 
 /// The busiest second's returns beside the mean second's.
-double peakOfReturns(const Outcome &outcome) {
-  double most = 0;
+double peakRetryRatio(const Outcome &outcome) {
+  double busiest = 0;
   double sum = 0;
   double n = 0;
-  for (const auto &it : outcome.ReturnsBySecond) {
+  for (const auto &it : outcome.RetriesBySecond) {
     if (it.first < toMilliseconds(WarmUp) / 1000)
       continue;
-    most = std::max(most, static_cast<double>(it.second));
+    busiest = std::max(busiest, static_cast<double>(it.second));
     sum += it.second;
     ++n;
   }
-  return n > 0 ? most / (sum / n) : 0;
+  return n > 0 ? busiest / (sum / n) : 0;
 }
 
 std::vector<Figure> measure(const Deployment &deployment, const Policy &policy,
@@ -334,40 +341,44 @@
     return Figure{deployment.Name,       policy.Name,         name, unit,
                   std::vector<double>(), isProduct ? aim : ""};
   };
-  const auto isSmall = [](const Source &it) {
+  const auto isSmall = [](const LoadSource &it) {
     return it.IsSmall && it.Priority == 0;
   };
-  const auto isLarge = [](const Source &it) { return !it.IsSmall; };
-  const auto isAlarm = [](const Source &it) { return it.Priority > 0; };
+  const auto isLarge = [](const LoadSource &it) { return !it.IsSmall; };
+  const auto isAlarm = [](const LoadSource &it) { return it.Priority > 0; };
   Figure useful = figure("answers in time, of capacity", "%", ">= 90");
-  Figure atOnce = figure("small teams' calls in time at first", "%", "~100");
+  Figure inTimeAtFirst =
+      figure("small teams' calls in time at first", "%", "~100");
   Figure small = figure("small teams' calls in time", "%", "~100");
   Figure large = figure("large teams' calls in time", "%", "");
   Figure alarms = figure("alarms in time at first", "%", "~100");
   Figure refused = figure("of the refused, on arrival", "%", "~100");
   Figure peak = figure("busiest second's returns, of the mean", "x", "");
-  const double capacity = deployment.Replicas * toSeconds(RunFor - WarmUp);
+  const double capacity =
+      deployment.Replicas * toSeconds(SimulatedSpan - WarmUp);
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     const Outcome it = Run(deployment, policy, seed).run();
     useful.Values.push_back(100 * it.UsefulSeconds / capacity);
-    atOnce.Values.push_back(percent(it.InTimeAtOnce, it.Asked, isSmall));
-    small.Values.push_back(percent(it.InTime, it.Asked, isSmall));
-    large.Values.push_back(percent(it.InTime, it.Asked, isLarge));
-    alarms.Values.push_back(percent(it.InTimeAtOnce, it.Asked, isAlarm));
+    inTimeAtFirst.Values.push_back(
+        percent(it.InTimeAtFirst, it.OfferedCount, isSmall));
+    small.Values.push_back(percent(it.InTime, it.OfferedCount, isSmall));
+    large.Values.push_back(percent(it.InTime, it.OfferedCount, isLarge));
+    alarms.Values.push_back(
+        percent(it.InTimeAtFirst, it.OfferedCount, isAlarm));
     refused.Values.push_back(100 * it.RefusedOnArrival /
                              std::max(1.0, it.Refused));
-    peak.Values.push_back(peakOfReturns(it));
+    peak.Values.push_back(peakRetryRatio(it));
   }
-  return {useful, atOnce, small, large, alarms, refused, peak};
+  return {useful, inTimeAtFirst, small, large, alarms, refused, peak};
 }
 
 std::vector<Figure> run(const ExperimentOptions &options) {
   const Policy policies[] = {
       {"one FIFO queue",
-       [](const Deployment &it) { return fifoGate(it, false); }},
+       [](const Deployment &it) { return fifoQueue(it, false); }},
       {"FIFO, gone ones dropped",
-       [](const Deployment &it) { return fifoGate(it, true); }},
-      {"sorrelbay", admissionGate}};
+       [](const Deployment &it) { return fifoQueue(it, true); }},
+      {"sorrelbay", admissionQueue}};
   std::vector<Figure> figures;
   for (const Deployment &deployment : Deployments)
     for (const Policy &policy : policies)
--- a/Utilities/sorrelbay-bench/Canary.cpp
+++ b/Utilities/sorrelbay-bench/Canary.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr std::uint64_t BadMovesPerSeed = 3;
-constexpr std::uint64_t GoodMovesPerSeed = 5;
-constexpr std::uint64_t SeedsAtOnce = 4;
+constexpr std::uint64_t BadRolloutsPerSeed = 3;
+constexpr std::uint64_t GoodRolloutsPerSeed = 5;
+constexpr std::uint64_t ConcurrentSeeds = 4;
 constexpr double Alpha = 0.01;
 constexpr double Percent = 100;
 
@@ -27,21 +27,21 @@
 
 /// Four equal stages; taken back over three times the usual rates.
 BaselinePolicy fixedLadder() {
-  constexpr std::uint64_t LeastCalls = 100;
-  constexpr double MostFailures = 0.03;
-  constexpr double MostLate = 0.12;
+  constexpr std::uint64_t MinJudgedCalls = 100;
+  constexpr double MaxFailureRate = 0.03;
+  constexpr double MaxLateRate = 0.12;
   BaselinePolicy out;
-  out.Share = [](double passed) {
+  out.Share = [](double elapsedShare) {
     constexpr double Shares[] = {0.05, 0.25, 0.5, 1};
-    const auto stage = static_cast<std::size_t>(passed * 4);
+    const auto stage = static_cast<std::size_t>(elapsedShare * 4);
     return Shares[std::min<std::size_t>(stage, 3)];
   };
   out.IsBad = [](const EvidenceCount &seen) {
     const auto calls = static_cast<double>(seen.Calls);
-    if (seen.Calls < LeastCalls)
+    if (seen.Calls < MinJudgedCalls)
       return false;
-    return static_cast<double>(seen.Failures) > MostFailures * calls ||
-           static_cast<double>(seen.Late) > MostLate * calls;
+    return static_cast<double>(seen.Failures) > MaxFailureRate * calls ||
+           static_cast<double>(seen.Late) > MaxLateRate * calls;
   };
   return out;
 }
@@ -79,71 +79,76 @@
 /// Values by the figure's name, of one seed.
 using SeedValues = std::map<std::string, double>;
 
-void runBadMoves(const CanaryScenario &base, const MeasuredPolicy &policy,
-                 std::uint64_t seed, SeedValues &values) {
+void runBadRollouts(const CanaryScenario &base, const MeasuredPolicy &policy,
+                    std::uint64_t seed, SeedValues &values) {
   for (const CanaryFault &fault : faultsOf(base)) {
     CanaryScenario scenario = base;
     scenario.Fault = fault;
     scenario.EndsWhenRolledBack = true;
     const double calls = scenario.CallsPerSecond * toSeconds(scenario.Deadline);
-    for (std::uint64_t n = 0; n < BadMovesPerSeed; ++n) {
+    for (std::uint64_t n = 0; n < BadRolloutsPerSeed; ++n) {
       const MoveResult result =
-          policy.Run(scenario, seed * BadMovesPerSeed + n);
+          policy.Run(scenario, seed * BadRolloutsPerSeed + n);
       const auto toFault = static_cast<double>(result.CallsToFault);
       const auto toNew = static_cast<double>(result.CallsToNew);
-      const double each = 1.0 / static_cast<double>(BadMovesPerSeed);
-      values["calls to it, " + fault.Name] += toFault * each;
+      const double rolloutWeight =
+          1.0 / static_cast<double>(BadRolloutsPerSeed);
+      values["calls to it, " + fault.Name] += toFault * rolloutWeight;
       values["share of the move, " + fault.Name] +=
-          Percent * toNew / calls * each;
+          Percent * toNew / calls * rolloutWeight;
       if (fault.Name == ReferenceFault)
         values["calls to it / bound"] +=
-            toFault * each /
-            sequentialBound(scenario.UsualFailures, ReferenceRate);
+            toFault * rolloutWeight /
+            sequentialBound(scenario.BaseFailureRate, ReferenceRate);
       double &latest = values["last call after the evidence"];
       latest = std::max(latest, toSeconds(result.LastAfterEvidence));
       values["bad versions taken back"] +=
-          result.IsRolledBack
-              ? Percent * each / static_cast<double>(faultsOf(base).size())
-              : 0;
+          result.IsRolledBack ? Percent * rolloutWeight /
+                                    static_cast<double>(faultsOf(base).size())
+                              : 0;
     }
   }
 }
 
-void runGoodMoves(const CanaryScenario &base, const MeasuredPolicy &policy,
-                  std::uint64_t seed, SeedValues &values) {
-  for (std::uint64_t n = 0; n < GoodMovesPerSeed; ++n) {
+void runGoodRollouts(const CanaryScenario &base, const MeasuredPolicy &policy,
+                     std::uint64_t seed, SeedValues &values) {
+  for (std::uint64_t n = 0; n < GoodRolloutsPerSeed; ++n) {
     CanaryScenario scenario = base;
     // In every other move a zone's reclaim makes both versions late.
     if (n % 2 == 1) {
       scenario.SlowFrom = 0.3;
       scenario.SlowUntil = 0.45;
     }
-    const MoveResult result = policy.Run(scenario, seed * GoodMovesPerSeed + n);
-    const double each = Percent / static_cast<double>(GoodMovesPerSeed);
-    values["good versions taken back"] += result.IsRolledBack ? each : 0;
-    values["of these for want of evidence"] += result.IsForDeadline ? each : 0;
-    values["good versions in time"] += result.IsInTime ? each : 0;
+    const MoveResult result =
+        policy.Run(scenario, seed * GoodRolloutsPerSeed + n);
+    const double rolloutWeight =
+        Percent / static_cast<double>(GoodRolloutsPerSeed);
+    values["good versions taken back"] +=
+        result.IsRolledBack ? rolloutWeight : 0;
+    values["of these for want of evidence"] +=
+        result.IsRolledBackForDeadline ? rolloutWeight : 0;
+    values["good versions in time"] += result.IsInTime ? rolloutWeight : 0;
     values["forced steps of a good version"] +=
         static_cast<double>(result.ForcedSteps) /
-        static_cast<double>(GoodMovesPerSeed);
+        static_cast<double>(GoodRolloutsPerSeed);
   }
 }
 
 SeedValues runSeed(const CanaryScenario &base, const MeasuredPolicy &policy,
                    std::uint64_t seed) {
   SeedValues values;
-  runBadMoves(base, policy, seed, values);
-  runGoodMoves(base, policy, seed, values);
+  runBadRollouts(base, policy, seed, values);
+  runGoodRollouts(base, policy, seed, values);
   return values;
 }
 
-struct NamedAim {
+struct FigureAim {
   const char *Prefix;
   const char *Unit;
   const char *Aim;
 };
 
-const NamedAim Aims[] = {
+const FigureAim FigureAims[] = {
     {"calls to it / bound", "", "at most 1.5"},
     {"calls to it", "calls", ""},
     {"share of the move", "%", "at most 2"},
@@ -157,7 +162,7 @@
 
 Figure figureOf(const std::string &deployment, const std::string &policy,
                 const std::string &name) {
-  for (const NamedAim &it : Aims)
+  for (const FigureAim &it : FigureAims)
     if (name.rfind(it.Prefix, 0) == 0)
       return {deployment, policy, name, it.Unit, {}, it.Aim};
   return {deployment, policy, name, "", {}, ""};
@@ -168,9 +173,9 @@
                                  std::uint64_t seeds) {
   std::vector<SeedValues> out(seeds);
   std::vector<std::future<void>> workers;
-  for (std::uint64_t first = 0; first < SeedsAtOnce; ++first)
+  for (std::uint64_t first = 0; first < ConcurrentSeeds; ++first)
     workers.push_back(std::async(std::launch::async, [&, first] {
-      for (std::uint64_t n = first; n < seeds; n += SeedsAtOnce)
+      for (std::uint64_t n = first; n < seeds; n += ConcurrentSeeds)
         out[n] = runSeed(base, policy, n + 1);
     }));
   for (std::future<void> &it : workers)
--- a/Utilities/sorrelbay-bench/CanaryModel.cpp
+++ b/Utilities/sorrelbay-bench/CanaryModel.cpp
@@ -14,33 +14,33 @@
 const VersionId NewVersion("new");
 const VersionId OldVersion("old");
 const Instant Start = Instant(hours(24));
-constexpr Duration UsualLatency = milliseconds(200);
+constexpr Duration GoodLatency = milliseconds(200);
 constexpr Duration LateLatency = milliseconds(900);
-constexpr unsigned TicksToTellAll = 10;
-constexpr Duration AfterVeto = seconds(30);
+constexpr unsigned TicksPerFullReport = 10;
+constexpr Duration RunAfterVeto = seconds(30);
 // Load is measured over this span.
 constexpr Duration LoadWindow = seconds(5);
 // An overloaded replica for a fault that shows only under load.
-constexpr double NearNormalLoad = 0.6;
+constexpr double NearNormalLoadShare = 0.6;
 
 /// One daemon of the model.
 struct Daemon {
   EvidenceSource Self;
   RolloutKnowledge Knowledge;
-  std::unique_ptr<Rollout> Part;
+  std::unique_ptr<Rollout> OwnRollout;
   PeerFreshness Freshness;
-  unsigned Lives = 0;
+  unsigned IncarnationNumber = 0;
   unsigned Ticks = 0;
   bool IsPaused = false;
-  std::vector<std::function<void()>> Waiting;
+  std::vector<std::function<void()>> Deferred;
   /// What it last told the others; empty once that is out of date.
-  std::shared_ptr<const RolloutKnowledge> Said;
+  std::shared_ptr<const RolloutKnowledge> LastReport;
 };
 
 struct Event {
   Instant At;
   std::uint64_t Order;
-  std::function<void()> Do;
+  std::function<void()> Action;
 };
 
 bool operator<(const Event &a, const Event &b) {
@@ -48,9 +48,9 @@
 }
 
 /// Draws what becomes of a call, for the model and the baselines alike.
-class Upstreams {
+class UpstreamModel {
 public:
-  Upstreams(const CanaryScenario &scenario, std::mt19937_64 &random)
+  UpstreamModel(const CanaryScenario &scenario, std::mt19937_64 &random)
       : Scenario(scenario), Random(random) {
     for (std::size_t n = 0; n < scenario.Replicas; ++n)
       Replicas.emplace_back("127.0.0.1:" + std::to_string(n));
@@ -68,25 +68,25 @@
     return Scenario.Routes.back();
   }
 
-  bool faultIsOn(const ModelRoute &route, Instant now) const {
+  bool isFaultActive(const ModelRoute &route, Instant now) const {
     const CanaryFault &fault = Scenario.Fault;
-    if (fault.isNone() || passed(now) < fault.From)
+    if (fault.isNone() || elapsedShare(now) < fault.From)
       return false;
     return fault.OnRoute.empty() || fault.OnRoute == route.Id;
   }
 
-  double passed(Instant now) const {
+  double elapsedShare(Instant now) const {
     return toSeconds(now - Start) / toSeconds(Scenario.Deadline);
   }
 
   /// The outcome of a call to the new version, sent to one of so many replicas.
   UpstreamOutcome callNew(const ModelRoute &route, Instant now,
                           std::size_t replicas, bool &isHarmed) {
-    const bool isLoaded = load(replicas, now);
+    const bool isLoaded = isNearNormalLoad(replicas, now);
     const CanaryFault &fault = Scenario.Fault;
-    const bool shows =
-        faultIsOn(route, now) && (!fault.OnlyUnderLoad || isLoaded);
-    if (!shows)
+    const bool isFaultVisible =
+        isFaultActive(route, now) && (!fault.OnlyUnderLoad || isLoaded);
+    if (!isFaultVisible)
       return callOld(now);
     isHarmed = true;
     const double chance = draw();
@@ -99,14 +99,14 @@
   }
 
   UpstreamOutcome callOld(Instant now) {
-    const double part = passed(now);
+    const double part = elapsedShare(now);
     const bool isSlow = part >= Scenario.SlowFrom && part < Scenario.SlowUntil;
-    const double late = isSlow ? Scenario.SlowLateness : Scenario.UsualLateness;
+    const double late = isSlow ? Scenario.SlowLateness : Scenario.BaseLateRate;
     const double chance = draw();
-    if (chance < Scenario.UsualFailures)
+    if (chance < Scenario.BaseFailureRate)
       return UpstreamOutcome::Failed;
-    return chance < Scenario.UsualFailures + late ? UpstreamOutcome::Late
-                                                  : UpstreamOutcome::Good;
+    return chance < Scenario.BaseFailureRate + late ? UpstreamOutcome::Late
+                                                    : UpstreamOutcome::Good;
   }
 
   const std::vector<UpstreamId> &replicas() const { return Replicas; }
@@ -119,7 +119,7 @@
 
   /// Whether the new version's calls, spread evenly over so many replicas,
   /// bring each near its normal load.
-  bool load(std::size_t replicas, Instant now) {
+  bool isNearNormalLoad(std::size_t replicas, Instant now) {
     Sent.push_back(now);
     while (Sent.front() + LoadWindow < now)
       Sent.pop_front();
@@ -127,7 +127,7 @@
                           static_cast<double>(Scenario.Replicas);
     const double each =
         static_cast<double>(Sent.size()) / static_cast<double>(replicas);
-    return each >= NearNormalLoad * normal;
+    return each >= NearNormalLoadShare * normal;
   }
 };
 
@@ -145,13 +145,13 @@
 }
 
 /// One move with the product's decisions in every daemon.
-class MoveRun {
+class RolloutRun {
 public:
-  MoveRun(const CanaryScenario &scenario, std::uint64_t seed,
-          const CanaryVariant &variant, const RolloutSettings &settings)
+  RolloutRun(const CanaryScenario &scenario, std::uint64_t seed,
+             const CanaryVariant &variant, const RolloutSettings &settings)
       : Scenario(scenario), Variant(variant), Settings(settings), Random(seed),
         Calls(scenario, Random), Plan(planOf(scenario)),
-        AllSeeing(NewVersion, OldVersion, idsOf(Plan), settings.Judge),
+        ReferenceJudge(NewVersion, OldVersion, idsOf(Plan), settings.Judge),
         Daemons(scenario.Hosts) {
     if (!variant.JudgesPerRoute) {
       Plan.Routes.resize(1);
@@ -164,15 +164,15 @@
       startDaemon(n);
       tick(n);
     }
-    nextCall();
+    scheduleNextCall();
     if (Scenario.Restarts > 0 || Scenario.Pauses > 0)
-      nextTrouble();
+      scheduleProcessFaults();
     const Instant end = Start + Scenario.Deadline + Scenario.After;
     while (!Events.empty() && Events.top().At <= end && !isOver()) {
       const Event event = Events.top();
       Events.pop();
       Now = event.At;
-      event.Do();
+      event.Action();
     }
     for (const Daemon &it : Daemons)
       finish(it);
@@ -188,25 +188,26 @@
   CanaryVariant Variant;
   RolloutSettings Settings;
   std::mt19937_64 Random;
-  Upstreams Calls;
+  UpstreamModel Calls;
   RolloutPlan Plan;
-  CanaryJudge AllSeeing;
-  EvidencePool AllEvidence;
+  CanaryJudge ReferenceJudge;
+  EvidencePool ReferenceEvidence;
   std::vector<Daemon> Daemons;
   std::priority_queue<Event> Events;
   std::uint64_t Order = 0;
   Instant Now = Start;
   // When each daemon counted its calls, in order.
-  std::map<EvidenceSource, std::vector<Instant>> Counted;
+  std::map<EvidenceSource, std::vector<Instant>> RecordedAt;
   std::optional<Instant> EvidenceAt;
   Instant LastSent = Start;
-  bool IsSeen = false;
+  bool HasReferenceVeto = false;
   std::optional<Instant> VetoAt;
   bool IsFullInTime = false;
   MoveResult Result;
 
   bool isOver() const {
-    return Scenario.EndsWhenRolledBack && VetoAt && Now > *VetoAt + AfterVeto;
+    return Scenario.EndsWhenRolledBack && VetoAt &&
+           Now > *VetoAt + RunAfterVeto;
   }
 
   static std::vector<RouteId> idsOf(const RolloutPlan &plan) {
@@ -222,47 +223,49 @@
 
   /// Does it now, or when the daemon goes on, if it is paused; never, if the
   /// daemon was restarted meanwhile.
-  void onDaemon(std::size_t n, unsigned life, std::function<void()> what) {
+  void runOnDaemon(std::size_t n, unsigned incarnationNumber,
+                   std::function<void()> what) {
     Daemon &daemon = Daemons[n];
-    if (daemon.Lives != life)
+    if (daemon.IncarnationNumber != incarnationNumber)
       return;
     if (daemon.IsPaused)
-      daemon.Waiting.push_back(std::move(what));
+      daemon.Deferred.push_back(std::move(what));
     else
       what();
   }
 
   void startDaemon(std::size_t n) {
     Daemon &daemon = Daemons[n];
-    ++daemon.Lives;
+    ++daemon.IncarnationNumber;
     const HostId host("127.0.0." + std::to_string(n + 1));
-    daemon.Self = {host, IncarnationId(std::to_string(daemon.Lives))};
+    daemon.Self = {host,
+                   IncarnationId(std::to_string(daemon.IncarnationNumber))};
     daemon.Knowledge = {};
     daemon.Freshness = {};
-    daemon.Part = std::make_unique<Rollout>(Plan, host, Settings);
+    daemon.OwnRollout = std::make_unique<Rollout>(Plan, host, Settings);
     daemon.IsPaused = false;
-    daemon.Waiting.clear();
-    daemon.Said = nullptr;
+    daemon.Deferred.clear();
+    daemon.LastReport = nullptr;
   }
 
   void update(Daemon &daemon) {
-    const RolloutState before = daemon.Part->state();
-    const bool isFull = daemon.Part->isAtFullShare();
+    const RolloutState before = daemon.OwnRollout->state();
+    const bool isFull = daemon.OwnRollout->isAtFullShare();
     if (isFull && Now <= Start + Scenario.Deadline)
       IsFullInTime = true;
     if (!Variant.JudgesAfterFullShare && isFull &&
         daemon.Knowledge.Vetoes.empty())
       return;
-    daemon.Part->refreshed(Variant.MindsStaleness
-                               ? daemon.Freshness.knownUntil(peers())
-                               : Now + hours(1));
-    daemon.Part->update(daemon.Knowledge, Now);
+    daemon.OwnRollout->refreshed(Variant.MindsStaleness
+                                     ? daemon.Freshness.knownUntil(peers())
+                                     : Now + hours(1));
+    daemon.OwnRollout->update(daemon.Knowledge, Now);
     noteVeto(daemon);
-    const bool isNews = before != daemon.Part->state();
-    if (isNews)
-      daemon.Said = nullptr;
-    if (isNews && !daemon.Knowledge.Vetoes.empty())
-      askAll(indexOf(daemon));
+    const bool hasStateChanged = before != daemon.OwnRollout->state();
+    if (hasStateChanged)
+      daemon.LastReport = nullptr;
+    if (hasStateChanged && !daemon.Knowledge.Vetoes.empty())
+      gossipToPeers(indexOf(daemon));
   }
 
   /// At the first veto, the time at which the last of the calls that it rests
@@ -271,15 +274,16 @@
     if (VetoAt || daemon.Knowledge.Vetoes.empty())
       return;
     VetoAt = Now;
-    Result.IsForDeadline = daemon.Knowledge.Vetoes.begin()->second.Reason ==
-                           RollbackReason::Deadline;
+    Result.IsRolledBackForDeadline =
+        daemon.Knowledge.Vetoes.begin()->second.Reason ==
+        RollbackReason::Deadline;
     EvidenceAt = Start;
     for (const auto &[source, counts] : daemon.Knowledge.Evidence.sources()) {
       std::uint64_t calls = 0;
       for (const auto &it : counts)
         calls += it.second.Calls;
       if (calls > 0)
-        EvidenceAt = std::max(*EvidenceAt, Counted[source][calls - 1]);
+        EvidenceAt = std::max(*EvidenceAt, RecordedAt[source][calls - 1]);
     }
   }
 
@@ -290,79 +294,85 @@
   }
 
   void tick(std::size_t n) {
-    const unsigned life = Daemons[n].Lives;
-    onDaemon(n, life, [this, n] {
+    const unsigned incarnationNumber = Daemons[n].IncarnationNumber;
+    runOnDaemon(n, incarnationNumber, [this, n] {
       ++Daemons[n].Ticks;
-      Daemons[n].Said = nullptr;
+      Daemons[n].LastReport = nullptr;
       update(Daemons[n]);
-      askAll(n);
+      gossipToPeers(n);
     });
-    at(Now + Scenario.GossipEvery, [this, n] { tick(n); });
+    at(Now + Scenario.GossipPeriod, [this, n] { tick(n); });
   }
 
-  void askAll(std::size_t n) {
-    const auto said = say(Daemons[n]);
+  void gossipToPeers(std::size_t n) {
+    const auto gossipReport = currentReport(Daemons[n]);
     for (std::size_t to = 0; to < Daemons.size(); ++to)
       if (to != n)
-        ask(n, to, said);
+        gossip(n, to, gossipReport);
   }
 
   /// What a daemon tells the others; all it knows at every tenth tick.
-  std::shared_ptr<const RolloutKnowledge> say(Daemon &daemon) const {
-    if (daemon.Said != nullptr)
-      return daemon.Said;
-    auto said = std::make_shared<RolloutKnowledge>(
-        daemon.Ticks % TicksToTellAll == 0
+  std::shared_ptr<const RolloutKnowledge> currentReport(Daemon &daemon) const {
+    if (daemon.LastReport != nullptr)
+      return daemon.LastReport;
+    auto gossipReport = std::make_shared<RolloutKnowledge>(
+        daemon.Ticks % TicksPerFullReport == 0
             ? daemon.Knowledge
             : ownPart(daemon.Knowledge, daemon.Self));
     if (!Variant.PoolsEvidence)
-      said->Evidence = {};
-    daemon.Said = std::move(said);
-    return daemon.Said;
+      gossipReport->Evidence = {};
+    daemon.LastReport = std::move(gossipReport);
+    return daemon.LastReport;
   }
 
-  void ask(std::size_t from, std::size_t to,
-           const std::shared_ptr<const RolloutKnowledge> &said) {
+  void gossip(std::size_t from, std::size_t to,
+              const std::shared_ptr<const RolloutKnowledge> &gossipReport) {
     const Instant askedAt = Now;
-    const unsigned life = Daemons[from].Lives;
-    post(to, Daemons[to].Lives, [this, from, to, said, askedAt, life] {
-      receive(to, *said);
-      const auto answer = say(Daemons[to]);
-      post(from, life, [this, from, to, answer, askedAt] {
-        Daemons[from].Freshness.answered(Daemons[to].Self.Host, askedAt);
-        receive(from, *answer);
-      });
-    });
-  }
-
-  void receive(std::size_t n, const RolloutKnowledge &said) {
+    const unsigned incarnationNumber = Daemons[from].IncarnationNumber;
+    sendMessage(to, Daemons[to].IncarnationNumber,
+                [this, from, to, gossipReport, askedAt, incarnationNumber] {
+                  receive(to, *gossipReport);
+                  const auto answer = currentReport(Daemons[to]);
+                  sendMessage(from, incarnationNumber,
+                              [this, from, to, answer, askedAt] {
+                                Daemons[from].Freshness.answered(
+                                    Daemons[to].Self.Host, askedAt);
+                                receive(from, *answer);
+                              });
+                });
+  }
+
+  void receive(std::size_t n, const RolloutKnowledge &gossipReport) {
     Daemon &daemon = Daemons[n];
     const std::size_t vetoes = daemon.Knowledge.Vetoes.size();
-    if (!merge(daemon.Knowledge, said))
+    if (!merge(daemon.Knowledge, gossipReport))
       return;
-    daemon.Said = nullptr;
+    daemon.LastReport = nullptr;
     // Evidence waits for the next tick; a veto does not.
     if (daemon.Knowledge.Vetoes.size() != vetoes)
       update(daemon);
   }
 
   /// A message that may be lost, late or repeated.
-  void post(std::size_t to, unsigned life, const std::function<void()> &what) {
+  void sendMessage(std::size_t to, unsigned incarnationNumber,
+                   const std::function<void()> &what) {
     if (Calls.draw() < Scenario.GossipLost)
       return;
     const int copies = Calls.draw() < Scenario.GossipRepeated ? 2 : 1;
     for (int n = 0; n < copies; ++n) {
       const double part = 0.2 + 0.8 * Calls.draw();
       at(Now + fromSeconds(toSeconds(Scenario.GossipDelay) * part),
-         [this, to, life, what] { onDaemon(to, life, what); });
+         [this, to, incarnationNumber, what] {
+           runOnDaemon(to, incarnationNumber, what);
+         });
     }
   }
 
-  void nextCall() {
+  void scheduleNextCall() {
     std::exponential_distribution<> gap(Scenario.CallsPerSecond);
     at(Now + fromSeconds(gap(Random)), [this] {
       call();
-      nextCall();
+      scheduleNextCall();
     });
   }
 
@@ -374,12 +384,12 @@
       ++Result.Calls;
     // A paused host's sockets still take calls; they are served when it goes
     // on, before it reads what its peers have sent.
-    onDaemon(n, Daemons[n].Lives,
-             [this, n, route, key] { serve(Daemons[n], route, key); });
+    runOnDaemon(n, Daemons[n].IncarnationNumber,
+                [this, n, route, key] { serve(Daemons[n], route, key); });
   }
 
   void serve(Daemon &daemon, const ModelRoute &route, const std::string &key) {
-    const VersionShares shares = daemon.Part->shares();
+    const VersionShares shares = daemon.OwnRollout->shares();
     const VersionId version = chooseVersion(shares, key, route.Repeatable, Now);
     bool isHarmed = false;
     UpstreamOutcome outcome = UpstreamOutcome::Good;
@@ -392,11 +402,11 @@
     if (isHarmed)
       ++Result.Harmed;
     const Duration latency =
-        outcome == UpstreamOutcome::Late ? LateLatency : UsualLatency;
+        outcome == UpstreamOutcome::Late ? LateLatency : GoodLatency;
     const std::size_t n = indexOf(daemon);
-    const unsigned life = daemon.Lives;
-    at(Now + latency, [this, n, life, version, route, outcome] {
-      onDaemon(n, life, [this, n, version, route, outcome] {
+    const unsigned incarnationNumber = daemon.IncarnationNumber;
+    at(Now + latency, [this, n, incarnationNumber, version, route, outcome] {
+      runOnDaemon(n, incarnationNumber, [this, n, version, route, outcome] {
         record(Daemons[n], {version, route.Id}, outcome);
       });
     });
@@ -405,7 +415,7 @@
   std::size_t newReplicas(const Daemon &daemon) const {
     if (!Variant.PacksReplicas)
       return Scenario.Replicas;
-    return canaryReplicas(Calls.replicas(), daemon.Part->callShare(),
+    return canaryReplicas(Calls.replicas(), daemon.OwnRollout->callShare(),
                           Plan.ReplicaShare)
         .size();
   }
@@ -413,7 +423,7 @@
   void noteSent(const Daemon &daemon, const ModelRoute &route) {
     if (Now <= Start + Scenario.Deadline)
       ++Result.CallsToNew;
-    if (Calls.faultIsOn(route, Now))
+    if (Calls.isFaultActive(route, Now))
       ++Result.CallsToFault;
     LastSent = Now;
     if (!daemon.Knowledge.Vetoes.empty())
@@ -421,22 +431,22 @@
   }
 
   void record(Daemon &daemon, const EvidenceKey &key, UpstreamOutcome outcome) {
-    AllEvidence.record(daemon.Self, key, outcome);
-    Counted[daemon.Self].push_back(Now);
-    if (!IsSeen && AllSeeing.observe(AllEvidence)) {
-      IsSeen = true;
-      Result.CallsWhenSeen = Result.CallsToFault;
+    ReferenceEvidence.record(daemon.Self, key, outcome);
+    RecordedAt[daemon.Self].push_back(Now);
+    if (!HasReferenceVeto && ReferenceJudge.observe(ReferenceEvidence)) {
+      HasReferenceVeto = true;
+      Result.CallsBeforeReferenceVeto = Result.CallsToFault;
     }
     EvidenceKey known = key;
     if (!Variant.JudgesPerRoute)
       known.OnRoute = Plan.Routes.front().Id;
     daemon.Knowledge.Evidence.record(daemon.Self, known, outcome);
-    daemon.Said = nullptr;
+    daemon.LastReport = nullptr;
     if (outcome != UpstreamOutcome::Good)
       update(daemon);
   }
 
-  void nextTrouble() {
+  void scheduleProcessFaults() {
     at(Now + seconds(1), [this] {
       for (std::size_t n = 0; n < Daemons.size(); ++n) {
         if (Calls.draw() < Scenario.Restarts)
@@ -444,31 +454,31 @@
         else if (!Daemons[n].IsPaused && Calls.draw() < Scenario.Pauses)
           pause(n);
       }
-      nextTrouble();
+      scheduleProcessFaults();
     });
   }
 
   void pause(std::size_t n) {
     Daemons[n].IsPaused = true;
-    const unsigned life = Daemons[n].Lives;
+    const unsigned incarnationNumber = Daemons[n].IncarnationNumber;
     const double part = Calls.draw();
     at(Now + fromSeconds(toSeconds(Scenario.MaxEventGap) * part),
-       [this, n, life] {
-         if (Daemons[n].Lives == life)
-           goOn(n);
+       [this, n, incarnationNumber] {
+         if (Daemons[n].IncarnationNumber == incarnationNumber)
+           resumeDaemon(n);
        });
   }
 
-  void goOn(std::size_t n) {
+  void resumeDaemon(std::size_t n) {
     Daemon &daemon = Daemons[n];
     daemon.IsPaused = false;
-    const auto waiting = std::exchange(daemon.Waiting, {});
+    const auto waiting = std::exchange(daemon.Deferred, {});
     for (const auto &it : waiting)
       it();
   }
 
   void finish(const Daemon &daemon) {
-    const RolloutStatus status = daemon.Part->status();
+    const RolloutStatus status = daemon.OwnRollout->status();
     Result.ForcedSteps = std::max(Result.ForcedSteps, status.ForcedSteps);
     Result.IsRolledBack |= !daemon.Knowledge.Vetoes.empty();
     Result.IsInTime = IsFullInTime && !Result.IsRolledBack;
@@ -480,13 +490,13 @@
 MoveResult runMove(const CanaryScenario &scenario, std::uint64_t seed,
                    const CanaryVariant &variant,
                    const RolloutSettings &settings) {
-  return MoveRun(scenario, seed, variant, settings).run();
+  return RolloutRun(scenario, seed, variant, settings).run();
 }
 
 MoveResult runBaseline(const CanaryScenario &scenario, std::uint64_t seed,
                        const BaselinePolicy &policy) {
   std::mt19937_64 random(seed);
-  Upstreams calls(scenario, random);
+  UpstreamModel calls(scenario, random);
   std::exponential_distribution<> gap(scenario.CallsPerSecond);
   MoveResult result;
   EvidenceCount seen;
@@ -495,13 +505,13 @@
        now += fromSeconds(gap(random))) {
     ++result.Calls;
     const ModelRoute &route = calls.drawRoute();
-    share = result.IsRolledBack ? 0 : policy.Share(calls.passed(now));
+    share = result.IsRolledBack ? 0 : policy.Share(calls.elapsedShare(now));
     if (calls.draw() >= share) {
       calls.callOld(now);
       continue;
     }
     ++result.CallsToNew;
-    if (calls.faultIsOn(route, now))
+    if (calls.isFaultActive(route, now))
       ++result.CallsToFault;
     bool isHarmed = false;
     const UpstreamOutcome outcome =
--- a/Utilities/sorrelbay-bench/CanaryModel.h
+++ b/Utilities/sorrelbay-bench/CanaryModel.h
@@ -48,15 +48,15 @@
   bool EndsWhenRolledBack = false;
   CanaryFault Fault;
   /// Rates of a version without a fault.
-  double UsualFailures = 0.01;
-  double UsualLateness = 0.04;
+  double BaseFailureRate = 0.01;
+  double BaseLateRate = 0.04;
   /// A time in which both versions are late, as parts of the deadline; a
   /// zone's reclaim does that.
   double SlowFrom = 0;
   double SlowUntil = 0;
   double SlowLateness = 0.2;
   /// Gossip between the daemons.
-  Duration GossipEvery = milliseconds(400);
+  Duration GossipPeriod = milliseconds(400);
   Duration GossipDelay = milliseconds(5);
   double GossipLost = 0;
   double GossipRepeated = 0;
@@ -88,13 +88,13 @@
   std::uint64_t Harmed = 0;
   bool IsRolledBack = false;
   /// Taken back since the evidence could not be had in time.
-  bool IsForDeadline = false;
+  bool IsRolledBackForDeadline = false;
   /// At full share before the deadline, and not taken back.
   bool IsInTime = false;
   unsigned ForcedSteps = 0;
   /// The same as CallsToFault up to the moment at which a judge that hears of
   /// every call at once would have stopped; zero if it never would.
-  std::uint64_t CallsWhenSeen = 0;
+  std::uint64_t CallsBeforeReferenceVeto = 0;
   /// From the moment at which the evidence that the first veto rests on was all
   /// counted, at whichever daemon, to the last call sent to the version.
   Duration LastAfterEvidence{};
--- a/Utilities/sorrelbay-bench/Capacity.cpp
+++ b/Utilities/sorrelbay-bench/Capacity.cpp
@@ -57,8 +57,8 @@
       const PlacementChoice choice = placement.choose(upstreams, request, at);
       placement.noteSent(*choice.Upstream, request, choice.CachedTokens, at);
     };
-    addSlope(figures, "model calls", "choose an upstream", {"replicas", count},
-             microsecondsPerCall(Calls, choose));
+    addTimePerCall(figures, "model calls", "choose an upstream",
+                   {"replicas", count}, microsecondsPerCall(Calls, choose));
     addBytes(figures, "model calls", "an upstream's state", {"replicas", count},
              bytes / static_cast<double>(count));
   }
@@ -88,8 +88,8 @@
       table.noteSent(choice->Id, {choice->TokensToPrefill, 9000}, at);
       table.notePrompt(choice->Id, request.Prompt, at);
     };
-    addSlope(figures, "prompts", "place a prompt", {"replicas", count},
-             microsecondsPerCall(Calls, place));
+    addTimePerCall(figures, "prompts", "place a prompt", {"replicas", count},
+                   microsecondsPerCall(Calls, place));
   }
 }
 
@@ -105,8 +105,8 @@
                       {"version", "model-1"}});
     const std::string text = list.dump();
     const auto parse = [&](int) { parseHostList(text); };
-    addSlope(figures, "membership", "parse a host list", {"replicas", count},
-             microsecondsPerCall(20, parse));
+    addTimePerCall(figures, "membership", "parse a host list",
+                   {"replicas", count}, microsecondsPerCall(20, parse));
     addBytes(figures, "membership", "a host list entry on the wire",
              {"replicas", count},
              static_cast<double>(text.size()) / static_cast<double>(count));
@@ -138,8 +138,8 @@
       copy.apply(intentOf(count + static_cast<std::size_t>(n)), limits, at);
       encodeBucket(copy);
     };
-    addSlope(figures, "ledger", "put an intent into a bucket",
-             {"entries", count}, microsecondsPerCall(20, update));
+    addTimePerCall(figures, "ledger", "put an intent into a bucket",
+                   {"entries", count}, microsecondsPerCall(20, update));
     addBytes(figures, "ledger", "an entry of a bucket", {"entries", count},
              static_cast<double>(body.size()) / static_cast<double>(count));
   }
@@ -159,9 +159,10 @@
     });
     addBytes(figures, "tickets", "a call of a ticket in memory",
              {"entries", count}, bytes / static_cast<double>(count));
-    addSlope(figures, "tickets", "run a call of a ticket", {"entries", count},
-             microsecondsPerCall(
-                 Calls, [&](int n) { run(n + static_cast<int>(count)); }));
+    addTimePerCall(figures, "tickets", "run a call of a ticket",
+                   {"entries", count}, microsecondsPerCall(Calls, [&](int n) {
+                     run(n + static_cast<int>(count));
+                   }));
   }
 }
 
@@ -191,8 +192,8 @@
     const auto verify = [&](int) {
       verifyBundle(decodeSignedBundle(bytes), {key.publicKey()});
     };
-    addSlope(figures, "bundles", "verify and decode a bundle",
-             {"versions", count}, microsecondsPerCall(20, verify));
+    addTimePerCall(figures, "bundles", "verify and decode a bundle",
+                   {"versions", count}, microsecondsPerCall(20, verify));
     addBytes(figures, "bundles", "a version with its part of the rest",
              {"versions", count},
              static_cast<double>(bytes.size()) / static_cast<double>(count));
--- a/Utilities/sorrelbay-bench/EngineFleet.cpp
+++ b/Utilities/sorrelbay-bench/EngineFleet.cpp
@@ -59,7 +59,7 @@
   for (int n = 0; n < plan.EnginesPerZone; ++n)
     for (int zone = 0; zone < plan.Zones; ++zone)
       addEngine(zone, true);
-  Engines.front().Slower = plan.FirstIsSlower;
+  Engines.front().SlowdownFactor = plan.FirstIsSlower;
   for (const PromptKind &it : plan.Kinds)
     Limits.add({Service, it.Priority, it.Target});
   Result.ByKind.resize(plan.Kinds.size());
@@ -69,14 +69,14 @@
 
 void EngineFleet::addEngine(int zone, bool isReclaimable) {
   Engine engine;
-  engine.Id = UpstreamId("engine" + std::to_string(Made++));
+  engine.Id = UpstreamId("engine" + std::to_string(EnginesCreated++));
   engine.Zone = zone;
   engine.IsReclaimable = isReclaimable;
-  tell(engine);
+  publishRecord(engine);
   Engines.push_back(std::move(engine));
 }
 
-void EngineFleet::tell(const Engine &engine) {
+void EngineFleet::publishRecord(const Engine &engine) {
   ReplicaRecord record;
   record.Id = engine.Id;
   record.OfService = Service;
@@ -88,15 +88,15 @@
     host->Table.note(record, Now);
 }
 
-double EngineFleet::timesNow() const {
-  double times = 1;
+double EngineFleet::currentLoadFactor() const {
+  double loadFactor = 1;
   for (const LoadStep &it : Plan.Load)
     if (Now - Start >= fromSeconds(it.AtSeconds))
-      times = it.Times;
-  return times;
+      loadFactor = it.LoadFactor;
+  return loadFactor;
 }
 
-void EngineFleet::arrive(std::size_t kind) {
+void EngineFleet::placeCall(std::size_t kind) {
   const PromptKind &it = Plan.Kinds[kind];
   Call call;
   call.Kind = kind;
@@ -114,11 +114,11 @@
     call.Prompt.push_back(
         {it.Name + std::to_string(conversation), it.SharedTokens});
   call.Prompt.push_back({"own", own});
-  call.LeftToWrite =
+  call.OutputTokensLeft =
       std::max(1, static_cast<int>(it.OutputTokens * size(Random)));
   for (CallTally *tally :
        {&Result.All, &Result.ByKind[kind], &Result.BySpan[call.Span]})
-    ++tally->Asked;
+    ++tally->OfferedCount;
 
   Host &host = *Hosts[call.Host];
   ReplicaRequest request;
@@ -136,10 +136,10 @@
   host.Demand.note(
       Service, model.prefillTime(static_cast<double>(choice->TokensToPrefill)),
       Now);
-  const Duration longest =
+  const Duration longestWait =
       Limits.maxQueueWait({Service, it.Priority, it.Target});
   const bool isLimited = Plan.QueueWaitShare > 0 && model.hasEnoughSamples();
-  if (isLimited && choice->Wait > longest) {
+  if (isLimited && choice->Wait > longestWait) {
     for (CallTally *tally :
          {&Result.All, &Result.ByKind[kind], &Result.BySpan[call.Span]})
       ++tally->Refused;
@@ -152,7 +152,7 @@
   const auto engine =
       std::find_if(Engines.begin(), Engines.end(),
                    [&](const Engine &it) { return it.Id == choice->Id; });
-  engine->Reading.push_back(std::move(call));
+  engine->Prefilling.push_back(std::move(call));
 }
 
 /// Prompt tokens that the engine has to read; what it reads is cached then.
@@ -167,7 +167,7 @@
       left -= static_cast<double>(part.Tokens);
       continue;
     }
-    Result.ReadAgain += part.Tokens;
+    Result.RecomputedSharedTokens += part.Tokens;
     engine.CachedTokens += part.Tokens;
   }
   while (engine.CachedTokens > Plan.Make.MemoryTokens) {
@@ -180,13 +180,14 @@
   return left;
 }
 
-void EngineFleet::begin(Engine &engine, Call &call) {
+void EngineFleet::emitFirstToken(Engine &engine, Call &call) {
   call.FirstAt = Now + fromSeconds(Plan.Make.FirstMs / 1000);
   Host &host = *Hosts[call.Host];
   host.Table.noteFirstByte(engine.Id, call.Work);
-  const FirstTokenSample seen{call.Choice.TokensToPrefill + call.Choice.Ahead,
-                              call.FirstAt - call.SentAt};
-  host.Table.noteFirstToken(engine.Id, seen, Now);
+  const FirstTokenSample firstTokenSample{call.Choice.TokensToPrefill +
+                                              call.Choice.Ahead,
+                                          call.FirstAt - call.SentAt};
+  host.Table.noteFirstToken(engine.Id, firstTokenSample, Now);
 }
 
 void EngineFleet::finish(Engine &engine, Call &call, bool isWhole) {
@@ -205,56 +206,56 @@
 /// One step of the engine: a chunk of the prompts in turn, and a token for each
 /// stream.
 void EngineFleet::step(Engine &engine) {
-  for (auto it = engine.Writing.begin(); it != engine.Writing.end();) {
+  for (auto it = engine.Decoding.begin(); it != engine.Decoding.end();) {
     ++Tokens;
-    if (--it->LeftToWrite > 0) {
+    if (--it->OutputTokensLeft > 0) {
       ++it;
       continue;
     }
     finish(engine, *it, true);
-    it = engine.Writing.erase(it);
+    it = engine.Decoding.erase(it);
   }
-  double room = Plan.Make.Chunk;
-  double read = 0;
-  auto it = engine.Reading.begin();
-  while (it != engine.Reading.end() && room > 0 &&
-         engine.Writing.size() < static_cast<std::size_t>(Plan.Make.Slots)) {
+  double tokenBudget = Plan.Make.Chunk;
+  double prefilledTokens = 0;
+  auto it = engine.Prefilling.begin();
+  while (it != engine.Prefilling.end() && tokenBudget > 0 &&
+         engine.Decoding.size() < static_cast<std::size_t>(Plan.Make.Slots)) {
     if (Now - it->SentAt > WaitLimit) {
       finish(engine, *it, false);
-      it = engine.Reading.erase(it);
+      it = engine.Prefilling.erase(it);
       continue;
     }
-    if (it->LeftToRead < 0)
-      it->LeftToRead = tokensUncached(engine, *it);
-    const double part = std::min(room, it->LeftToRead);
-    it->LeftToRead -= part;
-    room -= part;
-    read += part;
-    if (it->LeftToRead > 0)
+    if (it->PromptTokensLeft < 0)
+      it->PromptTokensLeft = tokensUncached(engine, *it);
+    const double part = std::min(tokenBudget, it->PromptTokensLeft);
+    it->PromptTokensLeft -= part;
+    tokenBudget -= part;
+    prefilledTokens += part;
+    if (it->PromptTokensLeft > 0)
       break;
-    begin(engine, *it);
-    engine.Writing.push_back(std::move(*it));
-    it = engine.Reading.erase(it);
+    emitFirstToken(engine, *it);
+    engine.Decoding.push_back(std::move(*it));
+    it = engine.Prefilling.erase(it);
   }
-  if (engine.Writing.empty() && read == 0)
+  if (engine.Decoding.empty() && prefilledTokens == 0)
     return;
-  const double took =
-      engine.Slower *
-      (Plan.Make.StepMs + read / Plan.Make.TokensPerMs +
-       Plan.Make.StepMsPerStream * static_cast<double>(engine.Writing.size()));
-  TokenMs += took * static_cast<double>(engine.Writing.size());
-  engine.StepEnds = std::max(engine.StepEnds, Now) + fromSeconds(took / 1000);
+  const double stepMs =
+      engine.SlowdownFactor *
+      (Plan.Make.StepMs + prefilledTokens / Plan.Make.TokensPerMs +
+       Plan.Make.StepMsPerStream * static_cast<double>(engine.Decoding.size()));
+  TotalTokenMs += stepMs * static_cast<double>(engine.Decoding.size());
+  engine.StepEnds = std::max(engine.StepEnds, Now) + fromSeconds(stepMs / 1000);
 }
 
 void EngineFleet::removeEngine(Engine &engine, bool isLost) {
-  for (auto *calls : {&engine.Reading, &engine.Writing})
+  for (auto *calls : {&engine.Prefilling, &engine.Decoding})
     for (Call &it : *calls)
       finish(engine, it, !isLost);
   for (const auto &host : Hosts)
     host->Table.remove(engine.Id);
 }
 
-void EngineFleet::tellPeers() {
+void EngineFleet::exchangePeerReports() {
   for (std::size_t from = 0; from < Hosts.size(); ++from)
     for (std::size_t to = 0; to < Hosts.size(); ++to) {
       if (from == to)
@@ -265,26 +266,26 @@
     }
 }
 
-bool EngineFleet::isDry(int zone) const {
+bool EngineFleet::lacksReclaimableHosts(int zone) const {
   return std::any_of(Plan.Losses.begin(), Plan.Losses.end(),
                      [&](const ZoneLoss &it) {
                        const double at = toSeconds(Now - Start);
                        return it.Zone == zone && at >= it.AtSeconds &&
-                              at < it.AtSeconds + it.DrySeconds;
+                              at < it.AtSeconds + it.UnavailableSeconds;
                      });
 }
 
 /// Engines of zones with a notice leave, and are gone when its time is over.
-void EngineFleet::loseZones() {
+void EngineFleet::reclaimZones() {
   for (const ZoneLoss &loss : Plan.Losses) {
     const double at = toSeconds(Now - Start) - loss.AtSeconds;
     for (auto it = Engines.begin(); it != Engines.end();) {
-      const bool isHit = it->Zone == loss.Zone && it->IsReclaimable;
-      if (isHit && at >= 0 && !it->IsLeaving) {
+      const bool isInReclaimedZone = it->Zone == loss.Zone && it->IsReclaimable;
+      if (isInReclaimedZone && at >= 0 && !it->IsLeaving) {
         it->IsLeaving = true;
-        tell(*it);
+        publishRecord(*it);
       }
-      if (isHit && it->IsLeaving && at >= loss.NoticeSeconds &&
+      if (isInReclaimedZone && it->IsLeaving && at >= loss.NoticeSeconds &&
           at < loss.NoticeSeconds + 1) {
         removeEngine(*it, true);
         it = Engines.erase(it);
@@ -296,27 +297,29 @@
 }
 
 void EngineFleet::setCount(const ReplicaOrder &order) {
-  int has = 0;
+  int replicaCount = 0;
   for (Engine &it : Engines)
     if (zoneName(it.Zone) == order.Zone && !it.IsLeaving &&
-        it.IsReclaimable == order.IsReclaimable && ++has > order.Count) {
+        it.IsReclaimable == order.IsReclaimable &&
+        ++replicaCount > order.Count) {
       it.IsLeaving = true;
-      tell(it);
+      publishRecord(it);
     }
   const int zone = std::stoi(order.Zone.text().substr(4));
-  for (; has < order.Count; ++has)
+  for (; replicaCount < order.Count; ++replicaCount)
     addEngine(zone, order.IsReclaimable);
 }
 
 void EngineFleet::scale() {
-  std::map<ZoneId, ZoneReplicas> seen;
+  std::map<ZoneId, ZoneReplicas> replicasByZone;
   for (int zone = 0; zone < Plan.Zones; ++zone)
-    seen[zoneName(zone)].HasReclaimNotice = false;
+    replicasByZone[zoneName(zone)].HasReclaimNotice = false;
   for (const Engine &it : Engines) {
-    ZoneReplicas &zone = seen[zoneName(it.Zone)];
+    ZoneReplicas &zone = replicasByZone[zoneName(it.Zone)];
     if (it.IsLeaving)
       zone.HasReclaimNotice =
-          zone.HasReclaimNotice || (it.IsReclaimable && isDry(it.Zone));
+          zone.HasReclaimNotice ||
+          (it.IsReclaimable && lacksReclaimableHosts(it.Zone));
     else
       ++(it.IsReclaimable ? zone.Reclaimable : zone.OnDemand);
   }
@@ -325,12 +328,13 @@
   load.OpenCalls = work.Calls;
   load.OpenTokens = work.Tokens;
   load.EngineSeconds = Hosts.front()->Demand.total(Service, Now);
-  for (const ReplicaOrder &it : Replicas.orders(Service, seen, load, Now)) {
+  for (const ReplicaOrder &it :
+       Replicas.orders(Service, replicasByZone, load, Now)) {
     const int zone = std::stoi(it.Zone.text().substr(4));
-    const ZoneReplicas &has = seen[it.Zone];
-    const bool isMore =
-        it.Count > (it.IsReclaimable ? has.Reclaimable : has.OnDemand);
-    if (it.IsReclaimable && isMore && isDry(zone)) {
+    const ZoneReplicas &zoneReplicas = replicasByZone[it.Zone];
+    const bool isMore = it.Count > (it.IsReclaimable ? zoneReplicas.Reclaimable
+                                                     : zoneReplicas.OnDemand);
+    if (it.IsReclaimable && isMore && lacksReclaimableHosts(zone)) {
       Replicas.noteResult(it, CloudResult::NoneAvailable, Now);
       continue;
     }
@@ -348,20 +352,21 @@
   for (; Now < end; Now += Tick) {
     for (std::size_t kind = 0; kind < Plan.Kinds.size(); ++kind) {
       const double mean =
-          Plan.Kinds[kind].PerSecond * timesNow() * toSeconds(Tick);
+          Plan.Kinds[kind].PerSecond * currentLoadFactor() * toSeconds(Tick);
       for (int n = std::poisson_distribution<int>(mean)(Random); n > 0; --n)
-        arrive(kind);
+        placeCall(kind);
     }
-    loseZones();
+    reclaimZones();
     for (Engine &it : Engines)
-      while (it.StepEnds <= Now && !(it.Reading.empty() && it.Writing.empty()))
+      while (it.StepEnds <= Now &&
+             !(it.Prefilling.empty() && it.Decoding.empty()))
         step(it);
     for (auto it = Engines.begin(); it != Engines.end();) {
-      const bool isOver = it->IsLeaving && it->Reading.empty() &&
-                          it->Writing.empty() && Engines.size() > 1;
-      if (isOver)
+      const bool hasDrained = it->IsLeaving && it->Prefilling.empty() &&
+                              it->Decoding.empty() && Engines.size() > 1;
+      if (hasDrained)
         removeEngine(*it, false);
-      it = isOver ? Engines.erase(it) : std::next(it);
+      it = hasDrained ? Engines.erase(it) : std::next(it);
     }
     Result.EngineSeconds +=
         static_cast<double>(Engines.size()) * toSeconds(Tick);
@@ -372,15 +377,16 @@
     if (Now < reportAt)
       continue;
     reportAt += ReportInterval;
-    tellPeers();
+    exchangePeerReports();
     if (Plan.IsScaled)
       scale();
   }
   for (Engine &engine : Engines)
-    for (auto *calls : {&engine.Reading, &engine.Writing})
+    for (auto *calls : {&engine.Prefilling, &engine.Decoding})
       for (Call &it : *calls)
         finish(engine, it, it.FirstAt != Instant{});
-  Result.MeanTokenMs = Tokens == 0 ? 0 : TokenMs / static_cast<double>(Tokens);
+  Result.MeanTokenMs =
+      Tokens == 0 ? 0 : TotalTokenMs / static_cast<double>(Tokens);
   return Result;
 }
 
--- a/Utilities/sorrelbay-bench/EngineFleet.h
+++ b/Utilities/sorrelbay-bench/EngineFleet.h
@@ -45,7 +45,7 @@
 /// From then on so many times the usual calls come.
 struct LoadStep {
   double AtSeconds = 0;
-  double Times = 1;
+  double LoadFactor = 1;
 };
 
 /// A zone loses its reclaimable engines, after a notice, and gives none for a
@@ -54,7 +54,7 @@
   double AtSeconds = 0;
   int Zone = 0;
   double NoticeSeconds = 2.5;
-  double DrySeconds = 14;
+  double UnavailableSeconds = 14;
 };
 
 /// What is played, and by which policy.
@@ -80,14 +80,14 @@
 
 /// What became of the calls of one kind, or of one span of time.
 struct CallTally {
-  int Asked = 0;
+  int OfferedCount = 0;
   int InTime = 0;
   int Late = 0;
   int Refused = 0;
   int Failed = 0;
 
   double inTimeShare() const {
-    return Asked == 0 ? 1 : static_cast<double>(InTime) / Asked;
+    return OfferedCount == 0 ? 1 : static_cast<double>(InTime) / OfferedCount;
   }
 };
 
@@ -101,7 +101,7 @@
   double EngineSeconds = 0;
   /// Shared prompt tokens that were read though the engine had them no longer,
   /// or another one had.
-  std::int64_t ReadAgain = 0;
+  std::int64_t RecomputedSharedTokens = 0;
 
   double worstSpan() const;
 };
@@ -125,8 +125,8 @@
     std::int64_t Tokens = 0;
     CallCost Work;
     ReplicaChoice Choice;
-    double LeftToRead = -1;
-    int LeftToWrite = 0;
+    double PromptTokensLeft = -1;
+    int OutputTokensLeft = 0;
     Instant FirstAt{};
   };
   struct Engine {
@@ -134,10 +134,10 @@
     int Zone = 0;
     bool IsReclaimable = true;
     bool IsLeaving = false;
-    double Slower = 1;
+    double SlowdownFactor = 1;
     Instant StepEnds{};
-    std::list<Call> Reading;
-    std::list<Call> Writing;
+    std::list<Call> Prefilling;
+    std::list<Call> Decoding;
     /// Parts by when they were last used.
     std::map<std::string, std::pair<Instant, std::int64_t>> Cached;
     std::int64_t CachedTokens = 0;
@@ -147,25 +147,25 @@
     ReplicaTable Table;
     EngineDemand Demand;
   };
-  struct Coming {
+  struct PendingReplicaOrder {
     Instant At{};
     ReplicaOrder Order;
   };
 
-  double timesNow() const;
+  double currentLoadFactor() const;
   void addEngine(int zone, bool isReclaimable);
-  void tell(const Engine &engine);
+  void publishRecord(const Engine &engine);
   void removeEngine(Engine &engine, bool isLost);
-  void arrive(std::size_t kind);
+  void placeCall(std::size_t kind);
   void step(Engine &engine);
-  void begin(Engine &engine, Call &call);
+  void emitFirstToken(Engine &engine, Call &call);
   double tokensUncached(Engine &engine, const Call &call);
   void finish(Engine &engine, Call &call, bool isWhole);
-  void tellPeers();
+  void exchangePeerReports();
   void scale();
   void setCount(const ReplicaOrder &order);
-  bool isDry(int zone) const;
-  void loseZones();
+  bool lacksReclaimableHosts(int zone) const;
+  void reclaimZones();
 
   EngineFleetPlan Plan;
   Instant Now{seconds(1000)};
@@ -173,12 +173,12 @@
   std::mt19937_64 Random;
   std::vector<std::unique_ptr<Host>> Hosts;
   std::list<Engine> Engines;
-  std::deque<Coming> Orders;
+  std::deque<PendingReplicaOrder> Orders;
   ReplicaAutoscaler Replicas;
   QueueWaitLimits Limits;
   EngineFleetResult Result;
-  int Made = 0;
-  double TokenMs = 0;
+  int EnginesCreated = 0;
+  double TotalTokenMs = 0;
   std::int64_t Tokens = 0;
 };
 
--- a/Utilities/sorrelbay-bench/EventQueue.cpp
+++ b/Utilities/sorrelbay-bench/EventQueue.cpp
@@ -4,8 +4,8 @@
 
 namespace sorrelbay {
 
-void EventQueue::at(Instant when, std::function<void()> run) {
-  Events.push({when, Added++, std::move(run)});
+void EventQueue::scheduleAt(Instant when, std::function<void()> run) {
+  Events.push({when, NextOrder++, std::move(run)});
 }
 
 void EventQueue::runUntil(Instant end) {
--- a/Utilities/sorrelbay-bench/EventQueue.h
+++ b/Utilities/sorrelbay-bench/EventQueue.h
@@ -13,7 +13,7 @@
 /// the same run.
 class EventQueue {
 public:
-  void at(Instant when, std::function<void()> run);
+  void scheduleAt(Instant when, std::function<void()> run);
   /// Runs the events up to that time, which then is the present.
   void runUntil(Instant end);
   Instant now() const { return Now; }
@@ -24,15 +24,15 @@
     std::uint64_t Order;
     std::function<void()> Run;
   };
-  struct Later {
+  struct RunsLater {
     bool operator()(const Event &a, const Event &b) const {
       return a.At != b.At ? a.At > b.At : a.Order > b.Order;
     }
   };
 
   Instant Now{};
-  std::uint64_t Added = 0;
-  std::priority_queue<Event, std::vector<Event>, Later> Events;
+  std::uint64_t NextOrder = 0;
+  std::priority_queue<Event, std::vector<Event>, RunsLater> Events;
 };
 
 /// The value below which that share of the values lies; 0 if there are none.
--- a/Utilities/sorrelbay-bench/Experiment.h
+++ b/Utilities/sorrelbay-bench/Experiment.h
@@ -39,7 +39,7 @@
 Experiment canaryExperiment();
 Experiment placementExperiment();
 Experiment admissionExperiment();
-Experiment moverExperiment();
+Experiment hostPlannerExperiment();
 Experiment recoveryExperiment();
 Experiment capacityExperiment();
 Experiment overloadExperiment();
--- a/Utilities/sorrelbay-bench/HostPlanner.cpp
+++ b/Utilities/sorrelbay-bench/HostPlanner.cpp
@@ -21,7 +21,7 @@
 
 constexpr int Zones = 4;
 constexpr Duration Step = seconds(10);
-constexpr Duration RunFor = hours(48);
+constexpr Duration SimulatedSpan = hours(48);
 /// From an order to a host that serves, its weights loaded.
 constexpr Duration StartTime = minutes(3);
 constexpr std::int64_t OnDemandCost = 1000000;
@@ -29,23 +29,23 @@
 constexpr double LowestPrice = 0.2;
 constexpr double HighestPrice = 0.5;
 /// How often one zone is reclaimed, and how long it then refuses to start.
-constexpr double MeanHoursBetweenWaves = 8;
-constexpr int RefusedMinutesLow = 5;
-constexpr int RefusedMinutesHigh = 40;
+constexpr double MeanHoursBetweenReclaims = 8;
+constexpr int MinRefusedMinutes = 5;
+constexpr int MaxRefusedMinutes = 40;
 /// A single start is refused at any time with this share.
-constexpr double RefusedStarts = 0.05;
+constexpr double StartRefusalRate = 0.05;
 /// What is bought above the demand that is expected by the time a host serves.
 constexpr double Headroom = 1.1;
 
 /// One zone's prices and waves, the same for all policies of a seed.
-struct ZoneWeather {
+struct ZoneTrace {
   std::vector<double> Price;
   std::vector<bool> IsRefusing;
   std::vector<bool> HasReclaimNotice;
 };
 
-struct Weather {
-  std::vector<ZoneWeather> Zones;
+struct MarketTrace {
+  std::vector<ZoneTrace> Zones;
   std::vector<double> Demand;
 };
 
@@ -53,50 +53,50 @@
   return static_cast<std::size_t>(span / Step);
 }
 
-ZoneWeather makeZone(std::mt19937_64 &random) {
-  ZoneWeather zone;
+ZoneTrace makeZone(std::mt19937_64 &random) {
+  ZoneTrace zone;
   double price =
       std::uniform_real_distribution<double>(LowestPrice, HighestPrice)(random);
   std::normal_distribution<double> drift(0, 0.002);
   const double perStep =
-      toSeconds(Step) / toSeconds(hours(1)) / MeanHoursBetweenWaves;
+      toSeconds(Step) / toSeconds(hours(1)) / MeanHoursBetweenReclaims;
   std::size_t refusedUntil = 0;
-  for (std::size_t n = 0; n < stepsIn(RunFor); ++n) {
+  for (std::size_t n = 0; n < stepsIn(SimulatedSpan); ++n) {
     price = std::clamp(price + drift(random), LowestPrice, HighestPrice);
-    const bool isWave = std::bernoulli_distribution(perStep)(random);
-    if (isWave)
+    const bool isZoneReclaim = std::bernoulli_distribution(perStep)(random);
+    if (isZoneReclaim)
       refusedUntil = n + stepsIn(minutes(std::uniform_int_distribution<int>(
-                             RefusedMinutesLow, RefusedMinutesHigh)(random)));
+                             MinRefusedMinutes, MaxRefusedMinutes)(random)));
     zone.Price.push_back(price);
-    zone.HasReclaimNotice.push_back(isWave);
+    zone.HasReclaimNotice.push_back(isZoneReclaim);
     zone.IsRefusing.push_back(n < refusedUntil);
   }
   return zone;
 }
 
 /// Two days of demand: low at night, a peak by day, and noise.
-Weather makeWeather(const Deployment &deployment, std::uint64_t seed) {
+MarketTrace makeMarketTrace(const Deployment &deployment, std::uint64_t seed) {
   std::mt19937_64 random(seed);
-  Weather weather;
+  MarketTrace marketTrace;
   for (int n = 0; n < Zones; ++n)
-    weather.Zones.push_back(makeZone(random));
+    marketTrace.Zones.push_back(makeZone(random));
   double noise = 0;
   std::normal_distribution<double> drift(0, 0.005);
-  for (std::size_t n = 0; n < stepsIn(RunFor); ++n) {
+  for (std::size_t n = 0; n < stepsIn(SimulatedSpan); ++n) {
     const double hour = toSeconds(Step) * static_cast<double>(n) / 3600;
     const double daily = 0.65 - 0.35 * std::cos(hour / 24 * 2 * M_PI);
     noise = std::clamp(noise + drift(random), -0.1, 0.1);
-    weather.Demand.push_back(deployment.PeakReplicas * (daily + noise));
+    marketTrace.Demand.push_back(deployment.PeakReplicas * (daily + noise));
   }
-  return weather;
+  return marketTrace;
 }
 
 /// The cloud's stand-in: hosts start after a while, are charged from their
 /// order on, and go in waves.
-class CloudStandIn {
+class SimulatedCloud {
 public:
-  CloudStandIn(const Weather &weather, std::uint64_t seed)
-      : Given(weather), Random(seed) {}
+  SimulatedCloud(const MarketTrace &marketTrace, std::uint64_t seed)
+      : Market(marketTrace), Random(seed) {}
 
   std::vector<HostOffer> offers(std::size_t n) const {
     std::vector<HostOffer> out;
@@ -105,7 +105,7 @@
       out.push_back({ZoneId(std::to_string(zone)), MachineClass("gpu"), true,
                      static_cast<std::int64_t>(
                          OnDemandCost *
-                         Given.Zones[static_cast<std::size_t>(zone)].Price[n]),
+                         Market.Zones[static_cast<std::size_t>(zone)].Price[n]),
                      1});
     out.push_back({ZoneId("0"), MachineClass("gpu"), false, OnDemandCost, 1});
     return out;
@@ -115,7 +115,7 @@
   bool create(const CreateOrder &order, std::size_t n) {
     if (order.From.IsReclaimable &&
         (zoneOf(order.From).IsRefusing[n] ||
-         std::bernoulli_distribution(RefusedStarts)(Random)))
+         std::bernoulli_distribution(StartRefusalRate)(Random)))
       return false;
     Hosts.push_back(
         {{std::to_string(NextId++), order.Token, CloudHostState::Starting},
@@ -171,11 +171,11 @@
     std::size_t LiveAt;
   };
 
-  const ZoneWeather &zoneOf(const HostOffer &offer) const {
-    return Given.Zones[std::stoul(offer.InZone.text())];
+  const ZoneTrace &zoneOf(const HostOffer &offer) const {
+    return Market.Zones[std::stoul(offer.InZone.text())];
   }
 
-  const Weather &Given;
+  const MarketTrace &Market;
   std::mt19937_64 Random;
   std::vector<Host> Hosts;
   int NextId = 1;
@@ -190,33 +190,33 @@
 struct Outcome {
   double Cost = 0;
   double Served = 0;
-  double Asked = 0;
+  double Demanded = 0;
 };
 
 /// One policy at work: it looks every half minute and orders what follows.
 class Fleet {
 public:
-  explicit Fleet(const Policy &policy, const Weather &weather,
+  explicit Fleet(const Policy &policy, const MarketTrace &marketTrace,
                  std::uint64_t seed)
-      : Uses(policy), Given(weather), Cloud(weather, seed) {
+      : OfferPolicy(policy), Market(marketTrace), Cloud(marketTrace, seed) {
     HostPlannerSettings settings;
     settings.StartTime = StartTime;
-    Decides = HostPlanner(settings);
+    PlannerUnderTest = HostPlanner(settings);
   }
 
   Outcome run() {
-    constexpr Duration LookEvery = seconds(30);
+    constexpr Duration PlanningPeriod = seconds(30);
     Outcome outcome;
-    for (std::size_t n = 0; n < Given.Demand.size(); ++n) {
+    for (std::size_t n = 0; n < Market.Demand.size(); ++n) {
       const double cost = Cloud.advance(n);
-      if (n % stepsIn(LookEvery) == 0)
-        look(n);
+      if (n % stepsIn(PlanningPeriod) == 0)
+        runPlanner(n);
       // The first start is not the mover's doing.
       if (n < stepsIn(hours(1)))
         continue;
       outcome.Cost += cost;
-      outcome.Asked += Given.Demand[n];
-      outcome.Served += std::min(Given.Demand[n], Cloud.capacity());
+      outcome.Demanded += Market.Demand[n];
+      outcome.Served += std::min(Market.Demand[n], Cloud.capacity());
     }
     return outcome;
   }
@@ -226,36 +226,37 @@
   double expectedDemand(std::size_t n) const {
     const std::size_t ahead = stepsIn(StartTime);
     const std::size_t before = n >= ahead ? n - ahead : 0;
-    const double growth = Given.Demand[n] - Given.Demand[before];
-    return Headroom * (Given.Demand[n] + std::max(0.0, growth));
+    const double growth = Market.Demand[n] - Market.Demand[before];
+    return Headroom * (Market.Demand[n] + std::max(0.0, growth));
   }
 
-  void look(std::size_t n) {
+  void runPlanner(std::size_t n) {
     const Instant now = Instant(Step * static_cast<std::int64_t>(n));
-    HostPlannerInput view;
-    view.Generation = 1;
-    view.Offers = Uses.Filter(Cloud.offers(n));
-    view.Capacity = expectedDemand(n);
-    view.Hosts = Cloud.list();
+    HostPlannerInput plannerInput;
+    plannerInput.Generation = 1;
+    plannerInput.Offers = OfferPolicy.Filter(Cloud.offers(n));
+    plannerInput.Capacity = expectedDemand(n);
+    plannerInput.Hosts = Cloud.list();
     // What was live and is not listed has gone.
     for (const auto &it : LastListed)
-      if (std::none_of(view.Hosts.begin(), view.Hosts.end(),
+      if (std::none_of(plannerInput.Hosts.begin(), plannerInput.Hosts.end(),
                        [&](const CloudHost &host) { return host.Id == it.Id; }))
-        view.Hosts.push_back({it.Id, it.Token, CloudHostState::Gone});
-    const HostPlannerDecision decision = Decides.decide(Plan, view, now);
+        plannerInput.Hosts.push_back({it.Id, it.Token, CloudHostState::Gone});
+    const HostPlannerDecision decision =
+        PlannerUnderTest.decide(Plan, plannerInput, now);
     Plan = decision.Plan;
     for (const std::string &it : decision.Deletes)
       Cloud.remove(it);
     for (const CreateOrder &it : decision.Creates)
       if (!Cloud.create(it, n))
-        Decides.noteRefused(it.From, now);
+        PlannerUnderTest.noteRefused(it.From, now);
     LastListed = Cloud.list();
   }
 
-  const Policy &Uses;
-  const Weather &Given;
-  CloudStandIn Cloud;
-  HostPlanner Decides;
+  const Policy &OfferPolicy;
+  const MarketTrace &Market;
+  SimulatedCloud Cloud;
+  HostPlanner PlannerUnderTest;
   HostPlan Plan;
   std::vector<CloudHost> LastListed;
 };
@@ -280,14 +281,14 @@
 
 /// The cost of someone who knows the future: at each moment just the hosts that
 /// the demand needs, in the cheapest zone that does not refuse.
-double lowerBound(const Weather &weather) {
+double lowerBound(const MarketTrace &marketTrace) {
   double cost = 0;
-  for (std::size_t n = stepsIn(hours(1)); n < weather.Demand.size(); ++n) {
+  for (std::size_t n = stepsIn(hours(1)); n < marketTrace.Demand.size(); ++n) {
     double price = 1;
-    for (const ZoneWeather &it : weather.Zones)
+    for (const ZoneTrace &it : marketTrace.Zones)
       if (!it.IsRefusing[n])
         price = std::min(price, it.Price[n]);
-    cost += std::ceil(weather.Demand[n]) * price;
+    cost += std::ceil(marketTrace.Demand[n]) * price;
   }
   return cost;
 }
@@ -312,12 +313,12 @@
     Figure distance{
         deployment.Name, policy.Name, "cost, of the lower bound", "%", {}, ""};
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-      const Weather weather = makeWeather(deployment, seed);
-      const double onDemand = Fleet(policies[0], weather, seed).run().Cost;
-      const Outcome outcome = Fleet(policy, weather, seed).run();
+      const MarketTrace marketTrace = makeMarketTrace(deployment, seed);
+      const double onDemand = Fleet(policies[0], marketTrace, seed).run().Cost;
+      const Outcome outcome = Fleet(policy, marketTrace, seed).run();
       cost.Values.push_back(100 * outcome.Cost / onDemand);
-      served.Values.push_back(100 * outcome.Served / outcome.Asked);
-      distance.Values.push_back(100 * outcome.Cost / lowerBound(weather));
+      served.Values.push_back(100 * outcome.Served / outcome.Demanded);
+      distance.Values.push_back(100 * outcome.Cost / lowerBound(marketTrace));
     }
     for (Figure &it : std::vector<Figure>{cost, served, distance})
       figures.push_back(std::move(it));
@@ -335,7 +336,7 @@
 
 } // namespace
 
-Experiment moverExperiment() {
+Experiment hostPlannerExperiment() {
   return {"mover", "two days of hosts: what they cost, and what they carry",
           run};
 }
--- a/Utilities/sorrelbay-bench/Overload.cpp
+++ b/Utilities/sorrelbay-bench/Overload.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 /// A deployment and what its callers ask of it.
-struct Pressure {
+struct OverloadCase {
   std::string Deployment;
   EngineFleetPlan Plan;
 };
@@ -27,19 +27,19 @@
   return plan;
 }
 
-std::vector<Pressure> pressures() {
+std::vector<OverloadCase> overloadCases() {
   const EngineMake slow{38, 4.73, 0.014, 40, 2048, 96, 297000};
   const EngineMake fast{140, 2.2, 0, 53, 2048, 48, 444000};
-  EngineFleetPlan rush = planOf(slow, 6, 6, 140);
-  rush.IsScaled = true;
-  rush.Seconds = 50;
-  rush.Load = {{0, 0.7}, {28, 1.3}};
-  rush.Losses = {{30, 2}, {35, 1}};
+  EngineFleetPlan burstPlan = planOf(slow, 6, 6, 140);
+  burstPlan.IsScaled = true;
+  burstPlan.Seconds = 50;
+  burstPlan.Load = {{0, 0.7}, {28, 1.3}};
+  burstPlan.Losses = {{30, 2}, {35, 1}};
   return {{"below capacity", planOf(slow, 9, 4, 110)},
           {"near capacity", planOf(slow, 9, 3, 110)},
           {"1.5 times", planOf(slow, 9, 2, 110)},
           {"fast engines", planOf(fast, 7, 1, 110)},
-          {"rush, reclaims", rush}};
+          {"rush, reclaims", burstPlan}};
 }
 
 std::vector<Policy> policies() {
@@ -63,23 +63,29 @@
 
 std::vector<Figure> run(const ExperimentOptions &options) {
   std::vector<Figure> figures;
-  for (const Pressure &pressure : pressures())
+  for (const OverloadCase &overloadCase : overloadCases())
     for (const Policy &policy : policies()) {
-      const bool isFirst = policy.Name == "sorrelbay";
-      Figure inTime{pressure.Deployment,  policy.Name, "calls in time", "%", {},
-                    isFirst ? "most" : ""};
-      Figure again{pressure.Deployment, policy.Name, "shared tokens read",
-                   "million",           {},          ""};
+      const bool isProductPolicy = policy.Name == "sorrelbay";
+      Figure inTime{
+          overloadCase.Deployment,      policy.Name, "calls in time", "%", {},
+          isProductPolicy ? "most" : ""};
+      Figure recomputedShared{overloadCase.Deployment,
+                              policy.Name,
+                              "shared tokens read",
+                              "million",
+                              {},
+                              ""};
       for (std::uint64_t seed = 1; seed <= options.Seeds; ++seed) {
-        EngineFleetPlan plan = pressure.Plan;
+        EngineFleetPlan plan = overloadCase.Plan;
         plan.Seed = seed;
         policy.Apply(plan);
         const EngineFleetResult result = EngineFleet(plan).play();
         inTime.Values.push_back(100 * result.All.inTimeShare());
-        again.Values.push_back(static_cast<double>(result.ReadAgain) / 1e6);
+        recomputedShared.Values.push_back(
+            static_cast<double>(result.RecomputedSharedTokens) / 1e6);
       }
       figures.push_back(inTime);
-      figures.push_back(again);
+      figures.push_back(recomputedShared);
     }
   return figures;
 }
--- a/Utilities/sorrelbay-bench/Placement.cpp
+++ b/Utilities/sorrelbay-bench/Placement.cpp
@@ -35,12 +35,12 @@
 /// What an engine keeps of prompts: little, where half of all turns come after
 /// their prefix has gone whatever the policy, and enough.
 const std::int64_t CacheSizes[] = {120000, 300000};
-constexpr Duration ReportEvery = seconds(1);
+constexpr Duration ReportPeriod = seconds(1);
 constexpr Duration ReportLag = milliseconds(500);
 constexpr Duration PeerLag = milliseconds(100);
 constexpr Duration CacheEventLag = seconds(2);
 constexpr double CacheEventLost = 0.2;
-constexpr Duration RunFor = minutes(10);
+constexpr Duration SimulatedSpan = minutes(10);
 constexpr Duration WarmUp = minutes(2);
 /// Every minute starts with ten seconds at twice the rate of the rest.
 constexpr int BurstPeriodSeconds = 60;
@@ -48,7 +48,7 @@
 constexpr double BurstFactor = 2;
 
 /// A conversation: each turn repeats all of it and adds to it.
-struct Talk {
+struct OpenConversation {
   ConversationKey Key;
   int EntryHost = 0;
   Instant AddressUntil;
@@ -60,9 +60,10 @@
 
 /// One engine: computes prompts one after the other, keeps the conversations
 /// that it used last, and holds a place for each answer that it generates.
-class EngineStandIn {
+class SimulatedEngine {
 public:
-  explicit EngineStandIn(std::int64_t cacheTokens) : CacheTokens(cacheTokens) {}
+  explicit SimulatedEngine(std::int64_t cacheTokens)
+      : CacheTokens(cacheTokens) {}
 
   struct Served {
     Instant FirstToken;
@@ -71,29 +72,33 @@
     std::vector<ConversationKey> Evicted;
   };
 
-  Served serve(const Talk &talk, int answerTokens, Instant now) {
+  Served serve(const OpenConversation &openConversation, int answerTokens,
+               Instant now) {
     Served served;
-    served.CachedTokens = std::min(talk.Computed, takeFromCache(talk.Key));
-    const std::int64_t toCompute = talk.Tokens - served.CachedTokens;
-    leavePlaces(now);
-    Instant start = std::max(now, PromptsDone);
-    if (Finishing.size() >= CallSlots)
+    served.CachedTokens = std::min(openConversation.Computed,
+                                   takeFromCache(openConversation.Key));
+    const std::int64_t toCompute =
+        openConversation.Tokens - served.CachedTokens;
+    releaseFinishedSlots(now);
+    Instant start = std::max(now, PrefillsDoneAt);
+    if (FinishTimes.size() >= CallSlots)
       start = std::max(
-          start, *std::next(Finishing.begin(),
-                            static_cast<int>(Finishing.size()) - CallSlots));
+          start, *std::next(FinishTimes.begin(),
+                            static_cast<int>(FinishTimes.size()) - CallSlots));
     served.FirstToken = start + fromSeconds(static_cast<double>(toCompute) /
                                             PromptTokensPerSecond);
-    PromptsDone = served.FirstToken;
+    PrefillsDoneAt = served.FirstToken;
     served.Finished = served.FirstToken + TokenGap * answerTokens;
-    Finishing.insert(served.Finished);
-    served.Evicted = putIntoCache(talk.Key, talk.Tokens + answerTokens);
+    FinishTimes.insert(served.Finished);
+    served.Evicted = putIntoCache(openConversation.Key,
+                                  openConversation.Tokens + answerTokens);
     return served;
   }
 
   void report(UpstreamState &state, Instant now) {
-    leavePlaces(now);
-    const double backlog = std::max(0.0, toSeconds(PromptsDone - now));
-    state.ReportedOpenCalls = static_cast<int>(Finishing.size());
+    releaseFinishedSlots(now);
+    const double backlog = std::max(0.0, toSeconds(PrefillsDoneAt - now));
+    state.ReportedOpenCalls = static_cast<int>(FinishTimes.size());
     state.ReportedBacklogTokens =
         static_cast<std::int64_t>(backlog * PromptTokensPerSecond);
     state.ReportedAt = now;
@@ -105,8 +110,8 @@
     std::int64_t Tokens;
   };
 
-  void leavePlaces(Instant now) {
-    Finishing.erase(Finishing.begin(), Finishing.upper_bound(now));
+  void releaseFinishedSlots(Instant now) {
+    FinishTimes.erase(FinishTimes.begin(), FinishTimes.upper_bound(now));
   }
 
   std::int64_t takeFromCache(const ConversationKey &key) {
@@ -135,8 +140,8 @@
   }
 
   std::int64_t CacheTokens;
-  Instant PromptsDone{};
-  std::multiset<Instant> Finishing;
+  Instant PrefillsDoneAt{};
+  std::multiset<Instant> FinishTimes;
   std::list<Cached> Cache;
   std::int64_t CacheUse = 0;
 };
@@ -160,7 +165,7 @@
 struct Policy {
   const char *Name;
   std::function<Chooser(const Deployment &)> Make;
-  bool HearsPeers = true;
+  bool ReceivesPeerSends = true;
 };
 
 Chooser roundRobin(const Deployment & /*deployment*/) {
@@ -276,17 +281,18 @@
 public:
   Run(const Deployment &deployment, std::int64_t cacheTokens,
       const Policy &policy, std::uint64_t seed)
-      : On(deployment), HearsPeers(policy.HearsPeers), Random(seed),
+      : ModeledDeployment(deployment),
+        ReceivesPeerSends(policy.ReceivesPeerSends), Random(seed),
         Engines(static_cast<std::size_t>(deployment.Replicas),
-                EngineStandIn(cacheTokens)) {
-    for (int n = 0; n < On.EntryHosts; ++n)
-      Hosts.push_back({policy.Make(On), zoneOf(n), states()});
+                SimulatedEngine(cacheTokens)) {
+    for (int n = 0; n < ModeledDeployment.EntryHosts; ++n)
+      Hosts.push_back({policy.Make(ModeledDeployment), zoneOf(n), states()});
   }
 
   Outcome run() {
-    arrive();
+    startConversation();
     report();
-    Queue.runUntil(Instant(RunFor));
+    Queue.runUntil(Instant(SimulatedSpan));
     return Result;
   }
 
@@ -301,7 +307,7 @@
 
   std::vector<UpstreamState> states() const {
     std::vector<UpstreamState> out;
-    for (int n = 0; n < On.Replicas; ++n) {
+    for (int n = 0; n < ModeledDeployment.Replicas; ++n) {
       UpstreamState state;
       state.Id = UpstreamId(std::to_string(n));
       state.InZone = zoneOf(n);
@@ -323,93 +329,102 @@
     return second % BurstPeriodSeconds < BurstSeconds;
   }
 
-  void arrive() {
+  void startConversation() {
     constexpr double MeanTurns = 6;
     constexpr double BurstShare = double(BurstSeconds) / BurstPeriodSeconds;
-    const double base =
-        On.CallsPerSecond / MeanTurns / (1 + (BurstFactor - 1) * BurstShare);
+    const double base = ModeledDeployment.CallsPerSecond / MeanTurns /
+                        (1 + (BurstFactor - 1) * BurstShare);
     const double rate = isBurst() ? BurstFactor * base : base;
-    const auto talk = std::make_shared<Talk>();
-    talk->Key = ConversationKey(std::to_string(++Talks));
-    talk->Tokens = between(800, 3000);
-    talk->TurnsLeft =
+    const auto openConversation = std::make_shared<OpenConversation>();
+    openConversation->Key =
+        ConversationKey(std::to_string(++ConversationsOpened));
+    openConversation->Tokens = between(800, 3000);
+    openConversation->TurnsLeft =
         1 + std::geometric_distribution<int>(1 / MeanTurns)(Random);
-    turn(talk);
-    Queue.at(Queue.now() + fromSeconds(exponential(1 / rate)),
-             [this] { arrive(); });
+    sendTurn(openConversation);
+    Queue.scheduleAt(Queue.now() + fromSeconds(exponential(1 / rate)),
+                     [this] { startConversation(); });
   }
 
-  void turn(const std::shared_ptr<Talk> &talk) {
+  void sendTurn(const std::shared_ptr<OpenConversation> &openConversation) {
     const Instant now = Queue.now();
-    if (now >= talk->AddressUntil) {
-      talk->EntryHost = between(0, On.EntryHosts - 1);
-      talk->AddressUntil = now + seconds(60);
+    if (now >= openConversation->AddressUntil) {
+      openConversation->EntryHost =
+          between(0, ModeledDeployment.EntryHosts - 1);
+      openConversation->AddressUntil = now + seconds(60);
     }
-    EntryHost &host = Hosts[static_cast<std::size_t>(talk->EntryHost)];
+    EntryHost &host =
+        Hosts[static_cast<std::size_t>(openConversation->EntryHost)];
     PlacementRequest request;
-    request.Conversation = talk->Key;
-    request.PromptTokens = talk->Tokens;
+    request.Conversation = openConversation->Key;
+    request.PromptTokens = openConversation->Tokens;
     request.OwnZone = host.Zone;
     request.Seed = Random();
     const UpstreamId chosen = host.Policy.Choose(host.Upstreams, request, now);
-    serve(talk, host, std::stoul(chosen.text()));
+    serve(openConversation, host, std::stoul(chosen.text()));
   }
 
-  void serve(const std::shared_ptr<Talk> &talk, EntryHost &host,
-             std::size_t n) {
+  void serve(const std::shared_ptr<OpenConversation> &openConversation,
+             EntryHost &host, std::size_t n) {
     UpstreamState &upstream = host.Upstreams[n];
-    const Duration way = upstream.InZone == host.Zone
-                             ? Duration{}
-                             : Duration(On.CrossZoneLatency);
+    const Duration oneWayLatency =
+        upstream.InZone == host.Zone
+            ? Duration{}
+            : Duration(ModeledDeployment.CrossZoneLatency);
     const Instant sent = Queue.now();
     ++upstream.OwnOpenCalls;
     const int answerTokens = between(100, 400);
-    EngineStandIn::Served served =
-        Engines[n].serve(*talk, answerTokens, sent + way);
-    count(*talk, served, served.FirstToken + way - sent);
-    if (HearsPeers)
-      tellPeers(host, upstream.Id, talk->Tokens - served.CachedTokens);
-    tellEvicted(upstream.Id, served.Evicted);
-    talk->Tokens += answerTokens;
-    talk->Computed = talk->Tokens;
-    Queue.at(served.Finished + way, [this, talk, &host, &upstream] {
+    SimulatedEngine::Served served =
+        Engines[n].serve(*openConversation, answerTokens, sent + oneWayLatency);
+    countTurn(*openConversation, served,
+              served.FirstToken + oneWayLatency - sent);
+    if (ReceivesPeerSends)
+      publishSend(host, upstream.Id,
+                  openConversation->Tokens - served.CachedTokens);
+    publishEvictions(upstream.Id, served.Evicted);
+    openConversation->Tokens += answerTokens;
+    openConversation->Computed = openConversation->Tokens;
+    Queue.scheduleAt(served.Finished + oneWayLatency, [this, openConversation,
+                                                       &host, &upstream] {
       --upstream.OwnOpenCalls;
-      host.Policy.Finished(upstream.Id, talk->Key, talk->Tokens, Queue.now());
-      talk->Tokens += between(50, 250);
-      if (--talk->TurnsLeft > 0)
-        Queue.at(Queue.now() + fromSeconds(exponential(20)),
-                 [this, talk] { turn(talk); });
+      host.Policy.Finished(upstream.Id, openConversation->Key,
+                           openConversation->Tokens, Queue.now());
+      openConversation->Tokens += between(50, 250);
+      if (--openConversation->TurnsLeft > 0)
+        Queue.scheduleAt(
+            Queue.now() + fromSeconds(exponential(20)),
+            [this, openConversation] { sendTurn(openConversation); });
     });
   }
 
-  void count(const Talk &talk, const EngineStandIn::Served &served,
-             Duration firstToken) {
+  void countTurn(const OpenConversation &openConversation,
+                 const SimulatedEngine::Served &served, Duration firstToken) {
     if (Queue.now() < Instant(WarmUp))
       return;
-    Result.RepeatedTokens += static_cast<double>(talk.Computed);
+    Result.RepeatedTokens += static_cast<double>(openConversation.Computed);
     Result.RecomputedTokens +=
-        static_cast<double>(talk.Computed - served.CachedTokens);
+        static_cast<double>(openConversation.Computed - served.CachedTokens);
     Result.ComputedTokens +=
-        static_cast<double>(talk.Tokens - served.CachedTokens);
+        static_cast<double>(openConversation.Tokens - served.CachedTokens);
     Result.FirstTokenMs.push_back(toSeconds(firstToken) * 1000);
   }
 
-  void tellPeers(const EntryHost &sender, const UpstreamId &upstream,
-                 std::int64_t tokens) {
+  void publishSend(const EntryHost &sender, const UpstreamId &upstream,
+                   std::int64_t tokens) {
     const Instant sent = Queue.now();
-    Queue.at(sent + PeerLag, [this, &sender, upstream, tokens, sent] {
+    Queue.scheduleAt(sent + PeerLag, [this, &sender, upstream, tokens, sent] {
       for (EntryHost &it : Hosts)
         if (&it != &sender)
           it.Policy.PeerSent(upstream, tokens, sent);
     });
   }
 
-  void tellEvicted(const UpstreamId &upstream,
-                   const std::vector<ConversationKey> &evicted) {
+  void publishEvictions(const UpstreamId &upstream,
+                        const std::vector<ConversationKey> &evicted) {
     for (const ConversationKey &key : evicted) {
       if (std::bernoulli_distribution(CacheEventLost)(Random))
         continue;
-      Queue.at(Queue.now() + CacheEventLag, [this, upstream, key] {
+      Queue.scheduleAt(Queue.now() + CacheEventLag, [this, upstream, key] {
         for (EntryHost &it : Hosts)
           it.Policy.Evicted(upstream, key);
       });
@@ -420,7 +435,7 @@
     for (std::size_t n = 0; n < Engines.size(); ++n) {
       UpstreamState state;
       Engines[n].report(state, Queue.now());
-      Queue.at(Queue.now() + ReportLag, [this, n, state] {
+      Queue.scheduleAt(Queue.now() + ReportLag, [this, n, state] {
         for (EntryHost &it : Hosts) {
           it.Upstreams[n].ReportedOpenCalls = state.ReportedOpenCalls;
           it.Upstreams[n].ReportedBacklogTokens = state.ReportedBacklogTokens;
@@ -428,16 +443,16 @@
         }
       });
     }
-    Queue.at(Queue.now() + ReportEvery, [this] { report(); });
+    Queue.scheduleAt(Queue.now() + ReportPeriod, [this] { report(); });
   }
 
-  const Deployment &On;
-  bool HearsPeers;
+  const Deployment &ModeledDeployment;
+  bool ReceivesPeerSends;
   std::mt19937_64 Random;
   EventQueue Queue;
-  std::vector<EngineStandIn> Engines;
+  std::vector<SimulatedEngine> Engines;
   std::vector<EntryHost> Hosts;
-  int Talks = 0;
+  int ConversationsOpened = 0;
   Outcome Result;
 };
 
@@ -450,7 +465,7 @@
     settings.MaxRememberedSends = 0;
     return byCost(deployment, settings);
   };
-  const auto noHome = [](const Deployment &deployment) {
+  const auto noAssumedCache = [](const Deployment &deployment) {
     PlacementSettings settings;
     settings.AssumedCachedShare = 0;
     return byCost(deployment, settings);
@@ -462,7 +477,7 @@
           {"sorrelbay", product},
           {"without peers' sends", product, false},
           {"without any sends", reportsOnly, false},
-          {"without a home", noHome}};
+          {"without a home", noAssumedCache}};
 }
 
 /// The figures of one policy in one setting, over all seeds.
@@ -481,8 +496,8 @@
   Figure tail = figure("first token p95", "ms", "<= least connections");
   Figure middle = figure("first token median", "ms", "");
   Figure use = figure("engines computing", "%", "");
-  const double capacity =
-      PromptTokensPerSecond * deployment.Replicas * toSeconds(RunFor - WarmUp);
+  const double capacity = PromptTokensPerSecond * deployment.Replicas *
+                          toSeconds(SimulatedSpan - WarmUp);
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     const Outcome outcome = Run(deployment, cacheTokens, policy, seed).run();
     share.Values.push_back(100 * outcome.RecomputedTokens /
--- a/Utilities/sorrelbay-bench/Recovery.cpp
+++ b/Utilities/sorrelbay-bench/Recovery.cpp
@@ -75,11 +75,15 @@
                        const std::vector<FleetResult> &results,
                        const std::vector<FleetResult> &restarted,
                        std::vector<Figure> &figures) {
-  const bool isOurs =
+  const bool isPlannedWithMoves =
       policy.Policy == RecoveryPolicy::Planned && policy.MovesCaches;
   auto figure = [&](const char *name, const char *unit, const char *aim) {
-    return Figure{deployment.Name,  policy.Name, name, unit, {},
-                  isOurs ? aim : ""};
+    return Figure{deployment.Name,
+                  policy.Name,
+                  name,
+                  unit,
+                  {},
+                  isPlannedWithMoves ? aim : ""};
   };
   Figure recomputed = figure("recomputed", "tokens", "");
   Figure ofRestart = figure("recomputed, of restart", "share", "at most 0.25");
--- a/Utilities/sorrelbay-bench/RecoveryFleet.h
+++ b/Utilities/sorrelbay-bench/RecoveryFleet.h
@@ -113,7 +113,7 @@
 private:
   static constexpr std::uint64_t MostSteps = 20000;
   /// A silent attempt is given up after that many steps.
-  static constexpr std::uint64_t SilentSteps = 60;
+  static constexpr std::uint64_t MaxSilentSteps = 60;
 
   struct Attempt {
     std::size_t Caller;
@@ -128,13 +128,13 @@
   };
   struct Caller {
     AnswerStream Answer;
-    OpenAnswer Described;
+    OpenAnswer Description;
     std::uint64_t Length;
     std::vector<AnswerEvent> Received;
     std::uint64_t LastToken;
     /// The last token or begin of an attempt.
     std::uint64_t LastProgress;
-    bool AwaitsFirst;
+    bool AwaitsFirstToken;
     UpstreamId At;
   };
   struct Transfer {
@@ -144,7 +144,7 @@
     std::uint64_t Tokens;
     std::uint64_t Done;
   };
-  struct Held {
+  struct DelayedToken {
     std::size_t Receiver;
     ArrivedToken Token;
     std::uint64_t Due;
@@ -157,7 +157,7 @@
     return probability > 0 &&
            std::uniform_real_distribution<>(0, 1)(Random) < probability;
   }
-  std::uint64_t pick(std::uint64_t low, std::uint64_t high) {
+  std::uint64_t drawBetween(std::uint64_t low, std::uint64_t high) {
     return std::uniform_int_distribution<std::uint64_t>(low, high)(Random);
   }
   Duration stepTime() const {
@@ -183,12 +183,12 @@
     open.Request = RequestId(std::to_string(index));
     open.PromptTokens = 50 + static_cast<std::uint64_t>(prompt(Random));
     const auto whole = 20 + static_cast<std::uint64_t>(length(Random));
-    open.TokensSoFar = isNew ? 0 : pick(0, whole - 1);
+    open.TokensSoFar = isNew ? 0 : drawBetween(0, whole - 1);
     // The entry host only has an estimate.
-    open.ExpectedLength = whole * pick(70, 140) / 100;
+    open.ExpectedLength = whole * drawBetween(70, 140) / 100;
     if (happens(0.3))
-      open.Cached.push_back(
-          {Engines[pick(0, Engines.size() - 1)].Id, open.PromptTokens / 2});
+      open.Cached.push_back({Engines[drawBetween(0, Engines.size() - 1)].Id,
+                             open.PromptTokens / 2});
     std::vector<std::string> tokens;
     for (std::uint64_t i = 0; i < open.TokensSoFar; ++i)
       tokens.push_back(tokenText(index, i));
@@ -216,7 +216,7 @@
     Callers[caller].At = engine.Id;
     engine.Attempts.push_back({caller, number, offset, prefill});
     Callers[caller].LastProgress = Step;
-    Callers[caller].AwaitsFirst = true;
+    Callers[caller].AwaitsFirstToken = true;
     noteLoad(engine);
   }
   void cancel(std::size_t caller) {
@@ -240,9 +240,9 @@
     for (Engine &it : Engines)
       if (it.IsAlive)
         decode(it);
-    deliverHeld();
+    deliverDelayed();
     finishTransfers();
-    findSilent();
+    recoverSilentAttempts();
     if (Settings.Policy == RecoveryPolicy::Planned && Plan.isBusy())
       perform(Plan.tick(at()));
   }
@@ -253,13 +253,13 @@
 
   void reclaim(const Reclaim &reclaim) {
     if (Step == stepOf(reclaim.At))
-      announce(reclaim);
+      startNotice(reclaim);
     if (Step == stepOf(reclaim.At + reclaim.Notice))
       for (std::size_t it : reclaim.Engines)
-        end(Engines[it]);
+        stopEngine(Engines[it]);
   }
 
-  void announce(const Reclaim &reclaim) {
+  void startNotice(const Reclaim &reclaim) {
     std::vector<UpstreamId> ids;
     for (std::size_t it : reclaim.Engines) {
       ids.push_back(Engines[it].Id);
@@ -275,11 +275,11 @@
           resumeOnLeastLoaded(attempt.Caller);
   }
 
-  void end(Engine &engine) {
+  void stopEngine(Engine &engine) {
     engine.IsAlive = false;
-    const std::vector<Attempt> cut = std::move(engine.Attempts);
+    const std::vector<Attempt> cutAttempts = std::move(engine.Attempts);
     engine.Attempts.clear();
-    for (const Attempt &it : cut) {
+    for (const Attempt &it : cutAttempts) {
       Callers[it.Caller].Answer.abandonAttempt(it.Number);
       if (Settings.Policy != RecoveryPolicy::Planned &&
           Settings.Policy != RecoveryPolicy::Nothing)
@@ -289,14 +289,14 @@
       perform(Plan.gone(at(), engine.Id));
   }
 
-  bool leaves(const Engine &engine) const {
+  bool isLeavingEngine(const Engine &engine) const {
     return std::find(Leaving.begin(), Leaving.end(), engine.Id) !=
            Leaving.end();
   }
   Engine *leastLoaded() {
     Engine *best = nullptr;
     for (Engine &it : Engines)
-      if (it.IsAlive && !leaves(it) &&
+      if (it.IsAlive && !isLeavingEngine(it) &&
           (!best || it.Attempts.size() < best->Attempts.size()))
         best = &it;
     return best;
@@ -319,11 +319,11 @@
     const Caller &it = Callers[caller];
     const bool restarts = Settings.Policy == RecoveryPolicy::RestartAll;
     const std::uint64_t whole =
-        it.Described.PromptTokens + it.Answer.nextOffset();
+        it.Description.PromptTokens + it.Answer.nextOffset();
     Result.Recomputed += whole;
     ++Result.Resumed;
     begin(caller, *best, restarts ? 0 : it.Answer.nextOffset(),
-          static_cast<double>(restarts ? it.Described.PromptTokens : whole));
+          static_cast<double>(restarts ? it.Description.PromptTokens : whole));
   }
 
   void decode(Engine &engine) {
@@ -349,13 +349,13 @@
     // A recovery caused by an earlier token of this step may have ended it.
     if (own == engine.Attempts.end())
       return;
-    const RequestId &request = Callers[attempt.Caller].Described.Request;
-    const bool breaks = happens(Settings.Faults.Truncated);
-    if (breaks || attempt.Offset == Callers[attempt.Caller].Length) {
+    const RequestId &request = Callers[attempt.Caller].Description.Request;
+    const bool isTruncated = happens(Settings.Faults.Truncated);
+    if (isTruncated || attempt.Offset == Callers[attempt.Caller].Length) {
       engine.Attempts.erase(own);
       arriveEnd(attempt.Caller, {request, attempt.Number,
                                  std::optional<std::uint64_t>(
-                                     attempt.Offset + (breaks ? 1 : 0))});
+                                     attempt.Offset + (isTruncated ? 1 : 0))});
       return;
     }
     ++own->Offset;
@@ -367,24 +367,24 @@
     if (happens(Settings.Faults.Lost))
       return;
     if (happens(Settings.Faults.Late)) {
-      InFlight.push_back({receiver, token, Step + pick(1, 90)});
+      InFlight.push_back({receiver, token, Step + drawBetween(1, 90)});
       return;
     }
     if (happens(Settings.Faults.Misrouted))
-      arrive(pick(0, Callers.size() - 1), token);
+      arrive(drawBetween(0, Callers.size() - 1), token);
     if (happens(Settings.Faults.Duplicated))
       arrive(receiver, token);
     arrive(receiver, token);
   }
 
-  void deliverHeld() {
-    std::vector<Held> due;
-    auto split =
-        std::partition(InFlight.begin(), InFlight.end(),
-                       [this](const Held &it) { return it.Due > Step; });
+  void deliverDelayed() {
+    std::vector<DelayedToken> due;
+    auto split = std::partition(
+        InFlight.begin(), InFlight.end(),
+        [this](const DelayedToken &it) { return it.Due > Step; });
     due.assign(split, InFlight.end());
     InFlight.erase(split, InFlight.end());
-    for (const Held &it : due)
+    for (const DelayedToken &it : due)
       arrive(it.Receiver, it.Token);
   }
 
@@ -394,70 +394,70 @@
     if (Settings.TrustsArrivals)
       caller.Received.push_back({caller.Received.size(), false, token.Text});
     if (verdict == TokenVerdict::Taken)
-      taken(receiver);
+      handleTaken(receiver);
     if (verdict == TokenVerdict::Gap)
-      lose(receiver);
+      handleLostAttempt(receiver);
   }
 
-  void taken(std::size_t receiver) {
+  void handleTaken(std::size_t receiver) {
     Caller &caller = Callers[receiver];
     if (caller.Answer.nextOffset() > 1)
       Result.LongestGap = std::max(
           Result.LongestGap,
           stepTime() * static_cast<std::int64_t>(Step - caller.LastToken));
     caller.LastToken = caller.LastProgress = Step;
-    Plan.setProgress(caller.Described.Request, caller.Answer.nextOffset());
+    Plan.setProgress(caller.Description.Request, caller.Answer.nextOffset());
     drain(receiver);
-    if (!caller.AwaitsFirst)
+    if (!caller.AwaitsFirstToken)
       return;
-    caller.AwaitsFirst = false;
-    perform(Plan.resumed(at(), caller.Described.Request));
+    caller.AwaitsFirstToken = false;
+    perform(Plan.resumed(at(), caller.Description.Request));
   }
 
   void arriveEnd(std::size_t receiver, const ArrivedEnd &end) {
     Caller &caller = Callers[receiver];
     const EndVerdict verdict = caller.Answer.finish(end);
     if (verdict == EndVerdict::Truncated)
-      lose(receiver);
+      handleLostAttempt(receiver);
     if (verdict != EndVerdict::Whole)
       return;
     --Open;
-    Plan.close(caller.Described.Request);
+    Plan.close(caller.Description.Request);
     drain(receiver);
     admitNext();
   }
 
-  void lose(std::size_t receiver) {
+  void handleLostAttempt(std::size_t receiver) {
     cancel(receiver);
     Callers[receiver].LastProgress = Step;
     if (Settings.Policy == RecoveryPolicy::Planned)
-      perform(Plan.attemptLost(at(), Callers[receiver].Described.Request,
+      perform(Plan.attemptLost(at(), Callers[receiver].Description.Request,
                                Callers[receiver].At, AttemptLoss::Connection));
     else if (Settings.Policy != RecoveryPolicy::Nothing)
       resumeOnLeastLoaded(receiver);
   }
 
-  void findSilent() {
+  void recoverSilentAttempts() {
     for (std::size_t i = 0; i < Callers.size(); ++i) {
       Caller &caller = Callers[i];
-      const bool prefills = caller.AwaitsFirst;
+      const bool prefills = caller.AwaitsFirstToken;
       if (!caller.Answer.hasAttempt() || prefills ||
-          Step - caller.LastProgress < SilentSteps)
+          Step - caller.LastProgress < MaxSilentSteps)
         continue;
       caller.Answer.abandonAttempt(caller.Answer.currentAttempt());
-      lose(i);
+      handleLostAttempt(i);
     }
   }
 
   void perform(const RecoveryActions &actions) {
     for (const MoveCache &it : actions.Moves) {
       const std::size_t caller = callerOf(it.Request);
-      const std::uint64_t tokens = Callers[caller].Described.PromptTokens +
+      const std::uint64_t tokens = Callers[caller].Description.PromptTokens +
                                    Callers[caller].Answer.nextOffset();
       const Duration took = fromSeconds(
           static_cast<double>(tokens) * Settings.Recovery.CacheBytesPerToken /
           Settings.Recovery.MoveBytesPerSecond *
-          static_cast<double>(pick(80, 130)) / 100);
+          static_cast<double>(drawBetween(80, 130)) / 100);
       Transfers.push_back(
           {caller, it.From, it.To, tokens, Step + 1 + stepOf(took)});
     }
@@ -478,7 +478,7 @@
     done.assign(split, Transfers.end());
     Transfers.erase(split, Transfers.end());
     for (const Transfer &it : done) {
-      const RequestId &request = Callers[it.Caller].Described.Request;
+      const RequestId &request = Callers[it.Caller].Description.Request;
       // The plan drops what it no longer waits for.
       if (!engine(it.From).IsAlive || !engine(it.To).IsAlive)
         continue;
@@ -510,18 +510,19 @@
 
   bool isWhole(std::size_t index) const {
     const Caller &caller = Callers[index];
-    std::string undisturbed;
+    std::string undisturbedText;
     std::string text;
     for (std::uint64_t i = 0; i < caller.Length; ++i)
-      undisturbed += tokenText(index, i);
+      undisturbedText += tokenText(index, i);
     for (std::size_t i = 0; i < caller.Received.size(); ++i) {
       if (caller.Received[i].Id != i)
         return false;
       text += caller.Received[i].Text;
     }
-    const bool ends = Settings.TrustsArrivals || (!caller.Received.empty() &&
-                                                  caller.Received.back().IsEnd);
-    return ends && text == undisturbed;
+    const bool hasEnd =
+        Settings.TrustsArrivals ||
+        (!caller.Received.empty() && caller.Received.back().IsEnd);
+    return hasEnd && text == undisturbedText;
   }
 
   FleetSettings Settings;
@@ -531,7 +532,7 @@
   std::deque<Caller> Callers;
   std::vector<UpstreamId> Leaving;
   std::vector<Transfer> Transfers;
-  std::vector<Held> InFlight;
+  std::vector<DelayedToken> InFlight;
   FleetResult Result;
   std::uint64_t Step = 0;
   std::size_t Open = 0;
--- a/Utilities/sorrelbay-bench/Slope.cpp
+++ b/Utilities/sorrelbay-bench/Slope.cpp
@@ -23,10 +23,10 @@
 }
 
 static void addValue(std::vector<Figure> &figures, const std::string &role,
-                     const std::string &what, const MeasuredSize &size,
+                     const std::string &quantity, const MeasuredSize &size,
                      const char *unit, double value) {
   const std::string name =
-      what + ", " + std::to_string(size.Count) + " " + size.Of;
+      quantity + ", " + std::to_string(size.Count) + " " + size.CountedItem;
   const auto it =
       std::find_if(figures.begin(), figures.end(), [&](const Figure &known) {
         return known.Policy == role && known.Name == name;
@@ -38,15 +38,16 @@
   figures.push_back({"any", role, name, unit, {value}, ""});
 }
 
-void addSlope(std::vector<Figure> &figures, const std::string &role,
-              const std::string &what, const MeasuredSize &size,
-              double micros) {
-  addValue(figures, role, what, size, "us", micros);
+void addTimePerCall(std::vector<Figure> &figures, const std::string &role,
+                    const std::string &quantity, const MeasuredSize &size,
+                    double callMicroseconds) {
+  addValue(figures, role, quantity, size, "us", callMicroseconds);
 }
 
 void addBytes(std::vector<Figure> &figures, const std::string &role,
-              const std::string &what, const MeasuredSize &size, double bytes) {
-  addValue(figures, role, what, size, "B", bytes);
+              const std::string &quantity, const MeasuredSize &size,
+              double bytes) {
+  addValue(figures, role, quantity, size, "B", bytes);
 }
 
 } // namespace sorrelbay
--- a/Utilities/sorrelbay-bench/Slope.h
+++ b/Utilities/sorrelbay-bench/Slope.h
@@ -10,7 +10,7 @@
 
 /// The size at which something was measured.
 struct MeasuredSize {
-  std::string Of;
+  std::string CountedItem;
   std::size_t Count = 0;
 };
 
@@ -21,10 +21,12 @@
 double heapGrowth(const std::function<void()> &work);
 
 /// Adds a time of a role to the figures, beside earlier values of the same.
-void addSlope(std::vector<Figure> &figures, const std::string &role,
-              const std::string &what, const MeasuredSize &size, double micros);
+void addTimePerCall(std::vector<Figure> &figures, const std::string &role,
+                    const std::string &quantity, const MeasuredSize &size,
+                    double callMicroseconds);
 /// The same for a number of bytes.
 void addBytes(std::vector<Figure> &figures, const std::string &role,
-              const std::string &what, const MeasuredSize &size, double bytes);
+              const std::string &quantity, const MeasuredSize &size,
+              double bytes);
 
 } // namespace sorrelbay
--- a/Utilities/sorrelbay-bench/main.cpp
+++ b/Utilities/sorrelbay-bench/main.cpp
@@ -9,8 +9,8 @@
 /// Every experiment there is; one line each.
 static std::vector<Experiment> experiments() {
   return {
-      canaryExperiment(),    capacityExperiment(), placementExperiment(),
-      admissionExperiment(), moverExperiment(),    recoveryExperiment(),
+      canaryExperiment(),    capacityExperiment(),    placementExperiment(),
+      admissionExperiment(), hostPlannerExperiment(), recoveryExperiment(),
       overloadExperiment(),
   };
 }
--- a/Utilities/sorrelbay-load/LoadRun.cpp
+++ b/Utilities/sorrelbay-load/LoadRun.cpp
@@ -34,20 +34,20 @@
 /// Counts events without parsing them, so that the load costs little beside
 /// what it measures.
 std::uint64_t countEvents(std::string_view data) {
-  static const std::string_view mark = "\"content\"";
+  static const std::string_view contentKey = "\"content\"";
   std::uint64_t n = 0;
-  for (std::size_t at = data.find(mark); at != std::string_view::npos;
-       at = data.find(mark, at + mark.size()))
+  for (std::size_t at = data.find(contentKey); at != std::string_view::npos;
+       at = data.find(contentKey, at + contentKey.size()))
     ++n;
   return n;
 }
 
 /// One answer; what it saw is added to the result.
-void runAnswer(const LoadOptions &options, std::size_t number,
-               LoadResult &result, std::mutex &mutex) {
+void runCall(const LoadOptions &options, std::size_t number, LoadResult &result,
+             std::mutex &mutex) {
   std::uint64_t tokens = 0;
   Duration first{};
-  bool isWhole = false;
+  bool isComplete = false;
   const Instant start = now();
   try {
     HttpStream stream(options.Target, chatCall(options, number));
@@ -60,18 +60,18 @@
                      tokens += n;
                      return true;
                    });
-    isWhole = hasEnded && tokens == options.Tokens;
+    isComplete = hasEnded && tokens == options.Tokens;
   } catch (const Error &) {
-    isWhole = false;
+    isComplete = false;
   }
   const std::lock_guard<std::mutex> lock(mutex);
   result.Tokens += tokens;
   if (tokens > 0)
     result.FirstTokens.push_back(first);
-  if (isWhole)
-    ++result.WholeAnswers;
+  if (isComplete)
+    ++result.CompleteResponses;
   else
-    ++result.BrokenAnswers;
+    ++result.FailedResponses;
 }
 
 } // namespace
@@ -85,7 +85,7 @@
   for (std::size_t n = 0; n < options.Streams; ++n) {
     threads.emplace_back([&, n] {
       for (std::size_t round = 0; round < options.Rounds; ++round)
-        runAnswer(options, n * options.Rounds + round, result, mutex);
+        runCall(options, n * options.Rounds + round, result, mutex);
     });
     std::this_thread::sleep_for(options.Stagger);
   }
@@ -95,18 +95,18 @@
   return result;
 }
 
-Duration quantile(std::vector<Duration> spans, double share) {
-  if (spans.empty())
+Duration quantile(std::vector<Duration> durations, double share) {
+  if (durations.empty())
     return Duration{};
-  std::sort(spans.begin(), spans.end());
-  const auto last = static_cast<double>(spans.size() - 1);
-  return spans[static_cast<std::size_t>(std::lround(last * share))];
+  std::sort(durations.begin(), durations.end());
+  const auto last = static_cast<double>(durations.size() - 1);
+  return durations[static_cast<std::size_t>(std::lround(last * share))];
 }
 
 ProcessUsage readProcessUsage(int processId) {
   ProcessUsage usage;
-  const std::string folder = "/proc/" + std::to_string(processId);
-  std::ifstream stat(folder + "/stat");
+  const std::string procDirectory = "/proc/" + std::to_string(processId);
+  std::ifstream stat(procDirectory + "/stat");
   std::string text;
   std::getline(stat, text);
   const std::size_t afterName = text.rfind(')');
@@ -122,7 +122,7 @@
   fields >> user >> system;
   const auto ticks = static_cast<double>(sysconf(_SC_CLK_TCK));
   usage.Processor = fromSeconds(static_cast<double>(user + system) / ticks);
-  std::ifstream status(folder + "/status");
+  std::ifstream status(procDirectory + "/status");
   while (std::getline(status, text)) {
     if (text.rfind("VmRSS:", 0) == 0)
       usage.ResidentBytes = std::stoull(text.substr(6)) * 1024;
--- a/Utilities/sorrelbay-load/LoadRun.h
+++ b/Utilities/sorrelbay-load/LoadRun.h
@@ -28,8 +28,8 @@
   /// From sending the call to its first token, one an answer.
   std::vector<Duration> FirstTokens;
   std::uint64_t Tokens = 0;
-  std::uint64_t WholeAnswers = 0;
-  std::uint64_t BrokenAnswers = 0;
+  std::uint64_t CompleteResponses = 0;
+  std::uint64_t FailedResponses = 0;
   Duration Elapsed{};
 };
 
@@ -37,7 +37,7 @@
 LoadResult runLoad(const LoadOptions &options);
 
 /// The value below which that share of the spans lies; zero if there is none.
-Duration quantile(std::vector<Duration> spans, double share);
+Duration quantile(std::vector<Duration> durations, double share);
 
 /// What a process has used: processor time since its start and memory now.
 struct ProcessUsage {
--- a/Utilities/sorrelbay-load/main.cpp
+++ b/Utilities/sorrelbay-load/main.cpp
@@ -12,20 +12,20 @@
 double toMs(Duration span) { return toSeconds(span) * 1000; }
 
 /// Watches a process while the load runs and keeps its largest memory.
-class PeakWatch {
+class PeakUsageSampler {
 public:
-  explicit PeakWatch(int processId)
+  explicit PeakUsageSampler(int processId)
       : Before(readProcessUsage(processId)), Worker([this, processId] {
           while (!IsDone) {
-            const ProcessUsage seen = readProcessUsage(processId);
-            PeakBytes = std::max(PeakBytes, seen.ResidentBytes);
-            PeakThreads = std::max(PeakThreads, seen.Threads);
+            const ProcessUsage usageSample = readProcessUsage(processId);
+            PeakBytes = std::max(PeakBytes, usageSample.ResidentBytes);
+            PeakThreads = std::max(PeakThreads, usageSample.Threads);
             std::this_thread::sleep_for(milliseconds(50));
           }
         }) {}
-  ~PeakWatch() { finish(); }
-  PeakWatch(const PeakWatch &) = delete;
-  PeakWatch &operator=(const PeakWatch &) = delete;
+  ~PeakUsageSampler() { finish(); }
+  PeakUsageSampler(const PeakUsageSampler &) = delete;
+  PeakUsageSampler &operator=(const PeakUsageSampler &) = delete;
 
   void finish() {
     IsDone = true;
@@ -46,7 +46,7 @@
   std::cout << name << ": first token median "
             << toMs(quantile(result.FirstTokens, 0.5)) << " ms, p99 "
             << toMs(quantile(result.FirstTokens, 0.99)) << " ms; "
-            << result.WholeAnswers << " whole, " << result.BrokenAnswers
+            << result.CompleteResponses << " whole, " << result.FailedResponses
             << " broken; "
             << static_cast<double>(result.Tokens) / toSeconds(result.Elapsed)
             << " tokens/s\n";
@@ -74,27 +74,28 @@
 
   std::cout << std::fixed << std::setprecision(2);
   if (!direct.empty()) {
-    LoadOptions compared = options;
-    compared.Target = direct;
-    print("direct", runLoad(compared));
+    LoadOptions directOptions = options;
+    directOptions.Target = direct;
+    print("direct", runLoad(directOptions));
   }
-  PeakWatch watch(processId);
+  PeakUsageSampler sampler(processId);
   const LoadResult result = runLoad(options);
-  watch.finish();
+  sampler.finish();
   print("relayed", result);
   if (processId != 0) {
     const ProcessUsage after = readProcessUsage(processId);
-    const Duration used = after.Processor - watch.Before.Processor;
-    const double grown = static_cast<double>(watch.PeakBytes) -
-                         static_cast<double>(watch.Before.ResidentBytes);
+    const Duration used = after.Processor - sampler.Before.Processor;
+    const double growthBytes =
+        static_cast<double>(sampler.PeakBytes) -
+        static_cast<double>(sampler.Before.ResidentBytes);
     std::cout << "daemon: " << toSeconds(used) << " s of processor time, "
               << static_cast<double>(result.Tokens) /
                      std::max(toSeconds(used), 0.01)
               << " tokens a second of it; peak "
-              << static_cast<double>(watch.PeakBytes) / 1e6 << " MB, "
-              << watch.PeakThreads << " threads, "
-              << grown / 1e3 / static_cast<double>(options.Streams)
+              << static_cast<double>(sampler.PeakBytes) / 1e6 << " MB, "
+              << sampler.PeakThreads << " threads, "
+              << growthBytes / 1e3 / static_cast<double>(options.Streams)
               << " kB more a stream\n";
   }
-  return result.BrokenAnswers == 0 ? 0 : 1;
+  return result.FailedResponses == 0 ? 0 : 1;
 }
