--- a/Utilities/sorrelbay-bench/Admission.cpp
+++ b/Utilities/sorrelbay-bench/Admission.cpp
@@ -22,18 +22,19 @@
 
 const Deployment Deployments[] = {{"Tablón Sur", 9, 6}, {"Caltagirone", 12, 7}};
 
-/// Who asks: the share of the offered load, and what is asked.
+/// A source of calls of one team and priority.
 struct LoadSource {
   const char *Team;
-  /// Of what the engines can take.
+  /// Offered load as a share of the capacity of all engines.
   double Load;
   int Priority;
   Duration Deadline;
   bool IsSmall;
 };
 
-/// Twice the capacity: two large teams send most of it, three small ones stay
-/// below an even share, and one of them also sends alarms.
+/// Offers twice the capacity: two large teams send most of it, three small
+/// teams stay below an equal share, and one of these also sends alarms of high
+/// priority.
 const LoadSource LoadSources[] = {
     {"large 1", 0.95, 0, milliseconds(1500), false},
     {"large 2", 0.70, 0, milliseconds(1500), false},
@@ -49,10 +50,11 @@
 constexpr Duration WarmUp = minutes(1);
 constexpr Duration AdmissionTickPeriod = milliseconds(50);
 constexpr int MaxCallAttempts = 4;
-/// A caller that hears nothing by its deadline asks again after this.
+/// Delay after which a caller retries a call that had no response by its
+/// deadline.
 constexpr Duration CallerRetryDelay = milliseconds(500);
-/// First tokens that each engine owes at once; enough to keep it busy, few
-/// enough that what is sent starts soon.
+/// Call slots per engine, divided among the entry hosts: enough to keep the
+/// engines busy, and few enough that a call that was sent starts soon.
 constexpr double CallSlotsPerReplica = 1.5;
 
 struct Call {
@@ -65,18 +67,18 @@
   Instant Deadline;
 };
 
-/// One engine: prompts one after the other.
+/// A simulated engine, which processes prompts one after the other.
 struct SimulatedEngine {
   Instant FreeAt{};
 };
 
-/// What a policy does at one entry host.
+/// The queue of calls at one entry host, as a policy handles its events.
 struct EntryQueue {
   std::function<std::vector<AdmissionAction>(const QueuedCall &, Instant)>
       Arrive;
   std::function<std::vector<AdmissionAction>(std::uint64_t, Instant)> Finish;
   std::function<std::vector<AdmissionAction>(Instant)> Tick;
-  /// The caller has gone.
+  /// Handles a caller's disconnect.
   std::function<std::vector<AdmissionAction>(std::uint64_t, Instant)> Cancel;
 };
 
@@ -155,9 +157,9 @@
   std::map<std::int64_t, int> RetriesBySecond;
 };
 
-/// One run: calls come to the entry hosts at twice the engines' capacity;
-/// refused callers come back when they were told to, callers that hear
-/// nothing by their deadline ask again soon.
+/// One run: calls arrive at the entry hosts at twice the engines' capacity. A
+/// refused call is retried after the delay given in its refusal, and a call
+/// without a response by its deadline after CallerRetryDelay.
 class Run {
 public:
   Run(const Deployment &deployment, const Policy &policy, std::uint64_t seed)
@@ -189,7 +191,7 @@
         Queue.now() + fromSeconds(exponential(1 / rate)), [this, from] {
           Call call;
           call.From = from;
-          // Prompts differ by a factor of three.
+          // The longest prompt takes three times as long as the shortest.
           call.ServiceSeconds = std::uniform_real_distribution<double>(
               MeanService / 2, MeanService * 1.5)(Random);
           if (isCounted())
@@ -225,8 +227,8 @@
     });
   }
 
-  /// The caller hears nothing by its deadline. What has been started for it is
-  /// worked on to the end.
+  /// Retries a call without a response by its deadline. A call that was already
+  /// started still occupies its engine to the end.
   void expireCall(std::uint64_t id) {
     const auto found = Calls.find(id);
     if (found == Calls.end() || Answered.count(id) != 0)
@@ -319,7 +321,8 @@
   return all > 0 ? 100 * part / all : 0;
 }
 
-/// The busiest second's returns beside the mean second's.
+/// Most retries in one second, divided by the mean over all seconds with
+/// retries.
 double peakRetryRatio(const Outcome &outcome) {
   double busiest = 0;
   double sum = 0;
--- a/Utilities/sorrelbay-bench/Canary.cpp
+++ b/Utilities/sorrelbay-bench/Canary.cpp
@@ -15,17 +15,19 @@
 constexpr double Alpha = 0.01;
 constexpr double Percent = 100;
 
-/// The bound's setting: a version that fails five times as often.
+/// Failure rate of a version that fails five times as often as usual, for which
+/// sequentialBound() is computed.
 constexpr double ReferenceRate = 0.05;
 const char *const ReferenceFault = "5% failures";
 
-/// A policy under measurement: the product's, or a baseline.
+/// A measured policy: the product's, or a baseline.
 struct MeasuredPolicy {
   std::string Name;
   std::function<MoveResult(const CanaryScenario &, std::uint64_t)> Run;
 };
 
-/// Four equal stages; taken back over three times the usual rates.
+/// Four stages of equal length; rolled back at more than three times the usual
+/// rates.
 BaselinePolicy fixedLadder() {
   constexpr std::uint64_t MinJudgedCalls = 100;
   constexpr double MaxFailureRate = 0.03;
@@ -68,15 +70,15 @@
           {"no canary", none}};
 }
 
-/// The least calls after which any test with that error can be expected to
-/// tell the two failure rates apart.
+/// Lower bound on the expected number of calls after which any test with the
+/// error rate Alpha can distinguish the two failure rates.
 double sequentialBound(double good, double bad) {
   const double divergence =
       bad * std::log(bad / good) + (1 - bad) * std::log((1 - bad) / (1 - good));
   return std::log(1 / Alpha) / divergence;
 }
 
-/// Values by the figure's name, of one seed.
+/// The values of one seed by the name of the figure.
 using SeedValues = std::map<std::string, double>;
 
 void runBadRollouts(const CanaryScenario &base, const MeasuredPolicy &policy,
@@ -114,7 +116,7 @@
                      std::uint64_t seed, SeedValues &values) {
   for (std::uint64_t n = 0; n < GoodRolloutsPerSeed; ++n) {
     CanaryScenario scenario = base;
-    // In every other move a zone's reclaim makes both versions late.
+    // In every second rollout a zone's reclaim makes both versions late.
     if (n % 2 == 1) {
       scenario.SlowFrom = 0.3;
       scenario.SlowUntil = 0.45;
--- a/Utilities/sorrelbay-bench/CanaryModel.cpp
+++ b/Utilities/sorrelbay-bench/CanaryModel.cpp
@@ -18,12 +18,12 @@
 constexpr Duration LateLatency = milliseconds(900);
 constexpr unsigned TicksPerFullReport = 10;
 constexpr Duration RunAfterVeto = seconds(30);
-// Load is measured over this span.
+// The load of a replica is measured over this span.
 constexpr Duration LoadWindow = seconds(5);
-// An overloaded replica for a fault that shows only under load.
+// Share of the normal load from which on a fault with OnlyUnderLoad is active.
 constexpr double NearNormalLoadShare = 0.6;
 
-/// One daemon of the model.
+/// A simulated daemon.
 struct Daemon {
   EvidenceSource Self;
   RolloutKnowledge Knowledge;
@@ -33,7 +33,7 @@
   unsigned Ticks = 0;
   bool IsPaused = false;
   std::vector<std::function<void()>> Deferred;
-  /// What it last told the others; empty once that is out of date.
+  /// The last report sent to the peers; null once it is out of date.
   std::shared_ptr<const RolloutKnowledge> LastReport;
 };
 
@@ -47,7 +47,8 @@
   return std::tie(a.At, a.Order) > std::tie(b.At, b.Order);
 }
 
-/// Draws what becomes of a call, for the model and the baselines alike.
+/// Draws the outcomes of calls, in the same way for the product and the
+/// baselines.
 class UpstreamModel {
 public:
   UpstreamModel(const CanaryScenario &scenario, std::mt19937_64 &random)
@@ -79,7 +80,8 @@
     return toSeconds(now - Start) / toSeconds(Scenario.Deadline);
   }
 
-  /// The outcome of a call to the new version, sent to one of so many replicas.
+  /// Draws the outcome of a call to the new version, whose calls are spread
+  /// over `replicas` replicas.
   UpstreamOutcome callNew(const ModelRoute &route, Instant now,
                           std::size_t replicas, bool &isHarmed) {
     const bool isLoaded = isNearNormalLoad(replicas, now);
@@ -117,8 +119,8 @@
   std::vector<UpstreamId> Replicas;
   std::deque<Instant> Sent;
 
-  /// Whether the new version's calls, spread evenly over so many replicas,
-  /// bring each near its normal load.
+  /// Whether the calls to the new version, spread evenly over `replicas`
+  /// replicas, bring each of these near its normal load.
   bool isNearNormalLoad(std::size_t replicas, Instant now) {
     Sent.push_back(now);
     while (Sent.front() + LoadWindow < now)
@@ -144,7 +146,7 @@
   return plan;
 }
 
-/// One move with the product's decisions in every daemon.
+/// Simulates one rollout with the product's decision code in every daemon.
 class RolloutRun {
 public:
   RolloutRun(const CanaryScenario &scenario, std::uint64_t seed,
@@ -196,7 +198,7 @@
   std::priority_queue<Event> Events;
   std::uint64_t Order = 0;
   Instant Now = Start;
-  // When each daemon counted its calls, in order.
+  // The times at which each daemon counted its calls, in order.
   std::map<EvidenceSource, std::vector<Instant>> RecordedAt;
   std::optional<Instant> EvidenceAt;
   Instant LastSent = Start;
@@ -221,8 +223,8 @@
     Events.push({when, Order++, std::move(what)});
   }
 
-  /// Does it now, or when the daemon goes on, if it is paused; never, if the
-  /// daemon was restarted meanwhile.
+  /// Runs the function now, or once the daemon resumes if it is paused. Drops
+  /// it if the daemon was restarted in the meantime.
   void runOnDaemon(std::size_t n, unsigned incarnationNumber,
                    std::function<void()> what) {
     Daemon &daemon = Daemons[n];
@@ -268,8 +270,8 @@
       gossipToPeers(indexOf(daemon));
   }
 
-  /// At the first veto, the time at which the last of the calls that it rests
-  /// on was counted somewhere.
+  /// At the first veto, determines when the last of the calls that it is based
+  /// on was counted by any daemon.
   void noteVeto(const Daemon &daemon) {
     if (VetoAt || daemon.Knowledge.Vetoes.empty())
       return;
@@ -311,7 +313,8 @@
         gossip(n, to, gossipReport);
   }
 
-  /// What a daemon tells the others; all it knows at every tenth tick.
+  /// The report that the daemon sends to its peers: its own part of the
+  /// knowledge, and at every tenth tick all of it.
   std::shared_ptr<const RolloutKnowledge> currentReport(Daemon &daemon) const {
     if (daemon.LastReport != nullptr)
       return daemon.LastReport;
@@ -348,12 +351,12 @@
     if (!merge(daemon.Knowledge, gossipReport))
       return;
     daemon.LastReport = nullptr;
-    // Evidence waits for the next tick; a veto does not.
+    // A veto is handled at once; evidence waits for the next tick.
     if (daemon.Knowledge.Vetoes.size() != vetoes)
       update(daemon);
   }
 
-  /// A message that may be lost, late or repeated.
+  /// Delivers a message, which may be lost, delayed or duplicated.
   void sendMessage(std::size_t to, unsigned incarnationNumber,
                    const std::function<void()> &what) {
     if (Calls.draw() < Scenario.GossipLost)
@@ -382,8 +385,8 @@
     const std::string key = std::to_string(Random());
     if (Now <= Start + Scenario.Deadline)
       ++Result.Calls;
-    // A paused host's sockets still take calls; they are served when it goes
-    // on, before it reads what its peers have sent.
+    // The sockets of a paused host still accept calls. The host serves them
+    // when it resumes, before it reads its peers' messages.
     runOnDaemon(n, Daemons[n].IncarnationNumber,
                 [this, n, route, key] { serve(Daemons[n], route, key); });
   }
@@ -530,36 +533,36 @@
 }
 
 std::vector<CanaryScenario> deploymentScenarios() {
-  CanaryScenario model;
-  model.Deployment = "tablon-sur/model";
-  model.Policy = DeadlinePolicy::InTime;
-  model.Routes = {{RouteId("chat"), true, 0.6},
-                  {RouteId("quote"), true, 0.25},
-                  {RouteId("tag"), true, 0.15}};
-  CanaryScenario desk = model;
-  desk.Deployment = "tablon-sur/desk";
-  desk.Replicas = 4;
-  desk.CallsPerSecond = 16;
-  desk.Routes = {{RouteId("lookup"), true, 0.7},
-                 {RouteId("booking"), false, 0.3}};
-  CanaryScenario night = model;
-  night.Deployment = "caltagirone/model";
-  night.Policy = DeadlinePolicy::Safe;
-  night.Hosts = 7;
-  night.Replicas = 12;
-  night.CallsPerSecond = 24;
-  night.GossipDelay = milliseconds(8);
-  night.Routes = {{RouteId("alarm"), true, 0.5},
-                  {RouteId("keeper"), true, 0.35},
-                  {RouteId("summary"), true, 0.15}};
-  CanaryScenario alarms = night;
-  alarms.Deployment = "caltagirone/desk";
-  alarms.Replicas = 4;
-  alarms.CallsPerSecond = 16;
-  alarms.Routes = {{RouteId("status"), true, 0.5},
-                   {RouteId("acknowledge"), true, 0.25},
-                   {RouteId("dispatch"), false, 0.25}};
-  return {model, desk, night, alarms};
+  CanaryScenario tablonModel;
+  tablonModel.Deployment = "tablon-sur/model";
+  tablonModel.Policy = DeadlinePolicy::InTime;
+  tablonModel.Routes = {{RouteId("chat"), true, 0.6},
+                        {RouteId("quote"), true, 0.25},
+                        {RouteId("tag"), true, 0.15}};
+  CanaryScenario tablonDesk = tablonModel;
+  tablonDesk.Deployment = "tablon-sur/desk";
+  tablonDesk.Replicas = 4;
+  tablonDesk.CallsPerSecond = 16;
+  tablonDesk.Routes = {{RouteId("lookup"), true, 0.7},
+                       {RouteId("booking"), false, 0.3}};
+  CanaryScenario caltagironeModel = tablonModel;
+  caltagironeModel.Deployment = "caltagirone/model";
+  caltagironeModel.Policy = DeadlinePolicy::Safe;
+  caltagironeModel.Hosts = 7;
+  caltagironeModel.Replicas = 12;
+  caltagironeModel.CallsPerSecond = 24;
+  caltagironeModel.GossipDelay = milliseconds(8);
+  caltagironeModel.Routes = {{RouteId("alarm"), true, 0.5},
+                             {RouteId("keeper"), true, 0.35},
+                             {RouteId("summary"), true, 0.15}};
+  CanaryScenario caltagironeDesk = caltagironeModel;
+  caltagironeDesk.Deployment = "caltagirone/desk";
+  caltagironeDesk.Replicas = 4;
+  caltagironeDesk.CallsPerSecond = 16;
+  caltagironeDesk.Routes = {{RouteId("status"), true, 0.5},
+                            {RouteId("acknowledge"), true, 0.25},
+                            {RouteId("dispatch"), false, 0.25}};
+  return {tablonModel, tablonDesk, caltagironeModel, caltagironeDesk};
 }
 
 std::vector<CanaryFault> faultsOf(const CanaryScenario &scenario) {
--- a/Utilities/sorrelbay-bench/CanaryModel.h
+++ b/Utilities/sorrelbay-bench/CanaryModel.h
@@ -9,30 +9,31 @@
 
 namespace sorrelbay {
 
-/// What is wrong with a new version in the model.
+/// A fault of the new version in the simulation.
 struct CanaryFault {
   std::string Name = "good";
-  /// The part of the calls that fail, and that are late, while it shows.
+  /// Shares of the calls that fail and that are late while the fault is active.
   double FailureRate = 0;
   double LateRate = 0;
-  /// When it begins, as a part of the time to the deadline.
+  /// When the fault begins, as a share of the time from the start of the
+  /// rollout to its deadline.
   double From = 0;
-  /// Shows only on a replica near its normal load.
+  /// The fault affects only calls to replicas near their normal load.
   bool OnlyUnderLoad = false;
-  /// Shows on that route only; empty for all.
+  /// The only route with the fault; empty for all routes.
   RouteId OnRoute;
 
   bool isNone() const { return FailureRate <= 0 && LateRate <= 0; }
 };
 
-/// A route of the model and its part of the calls.
+/// A simulated route and its share of all calls.
 struct ModelRoute {
   RouteId Id;
   bool Repeatable = true;
   double Part = 1;
 };
 
-/// One move in one deployment.
+/// One rollout in one deployment.
 struct CanaryScenario {
   std::string Deployment;
   std::size_t Hosts = 6;
@@ -41,32 +42,34 @@
   std::vector<ModelRoute> Routes;
   DeadlinePolicy Policy = DeadlinePolicy::Safe;
   Duration Deadline = minutes(30);
-  /// How long it goes on after the deadline.
+  /// How long the simulation continues after the deadline.
   Duration After{};
-  /// Whether it ends half a minute after the first veto; nothing is learnt from
-  /// the rest.
+  /// Ends the simulation 30 s after the first veto, since nothing later changes
+  /// the result.
   bool EndsWhenRolledBack = false;
   CanaryFault Fault;
-  /// Rates of a version without a fault.
+  /// Failure and late rates of a version without a fault.
   double BaseFailureRate = 0.01;
   double BaseLateRate = 0.04;
-  /// A time in which both versions are late, as parts of the deadline; a
-  /// zone's reclaim does that.
+  /// Period in which both versions have the higher late rate SlowLateness, as a
+  /// zone's reclaim causes it; shares of the time to the deadline.
   double SlowFrom = 0;
   double SlowUntil = 0;
   double SlowLateness = 0.2;
-  /// Gossip between the daemons.
+  /// Gossip between the daemons: period, largest delay of a message, and the
+  /// probabilities that a message is lost or delivered twice.
   Duration GossipPeriod = milliseconds(400);
   Duration GossipDelay = milliseconds(5);
   double GossipLost = 0;
   double GossipRepeated = 0;
-  /// Chances, for each daemon and second, of a restart and of a pause.
+  /// Probabilities of a restart and of a pause, for each daemon and second.
   double Restarts = 0;
   double Pauses = 0;
   Duration MaxEventGap = seconds(20);
 };
 
-/// Parts of the mechanism that can be left out, to show what each is for.
+/// Parts of the rollout mechanism that can be disabled to measure what each
+/// contributes.
 struct CanaryVariant {
   std::string Name = "whole";
   bool PoolsEvidence = true;
@@ -76,58 +79,60 @@
   bool MindsStaleness = true;
 };
 
-/// What happened in one move.
+/// The result of one rollout.
 struct MoveResult {
-  /// Calls until the deadline or the end.
+  /// Calls until the deadline, or until the simulation ended before it.
   std::uint64_t Calls = 0;
-  /// Calls that went to the new version until then, and those of them after its
-  /// fault had begun and on the routes that it is on.
+  /// CallsToNew are the calls to the new version until the deadline.
+  /// CallsToFault are the calls to the new version while its fault was active
+  /// on their route.
   std::uint64_t CallsToNew = 0;
   std::uint64_t CallsToFault = 0;
-  /// Calls to the new version that failed or were late by the fault.
+  /// Calls to the new version that failed or were late because of the fault.
   std::uint64_t Harmed = 0;
   bool IsRolledBack = false;
-  /// Taken back since the evidence could not be had in time.
+  /// Rolled back because there was not enough evidence before the deadline.
   bool IsRolledBackForDeadline = false;
-  /// At full share before the deadline, and not taken back.
+  /// Reached the full share before the deadline and was not rolled back.
   bool IsInTime = false;
   unsigned ForcedSteps = 0;
-  /// The same as CallsToFault up to the moment at which a judge that hears of
-  /// every call at once would have stopped; zero if it never would.
+  /// CallsToFault at the moment at which a judge that receives every outcome
+  /// without delay vetoes the version; zero if it never does.
   std::uint64_t CallsBeforeReferenceVeto = 0;
-  /// From the moment at which the evidence that the first veto rests on was all
-  /// counted, at whichever daemon, to the last call sent to the version.
+  /// From the moment at which the daemons had counted all evidence that the
+  /// first veto is based on, to the last call that was sent to the version.
   Duration LastAfterEvidence{};
-  /// The longest time between the first veto and a call that was sent to the
-  /// version.
+  /// From the first veto to the last call that was sent to the version.
   Duration LastAfterVeto{};
-  /// Calls sent by a daemon that knew of a veto.
+  /// Calls that a daemon sent to the version although it knew of a veto.
   std::uint64_t SentAgainstVeto = 0;
 };
 
-/// Runs one move with the product's decisions in every daemon. The same seed
-/// gives the same run.
+/// Simulates one rollout in which every daemon runs the product's decision
+/// code. The same seed gives the same result.
 MoveResult runMove(const CanaryScenario &scenario, std::uint64_t seed,
                    const CanaryVariant &variant = {},
                    const RolloutSettings &settings = {});
 
-/// A policy that sees every call at once, for the baselines.
+/// A baseline policy, which receives the outcome of every call without delay.
 struct BaselinePolicy {
-  /// The new version's share, given the part of the time to the deadline that
-  /// has passed.
+  /// The new version's share of the calls, given the elapsed share of the time
+  /// to the deadline.
   std::function<double(double)> Share;
-  /// Whether the version is taken back, given its counts so far.
+  /// Whether the version is rolled back, given its counts so far.
   std::function<bool(const EvidenceCount &)> IsBad;
 };
 
-/// Runs one move under a baseline, with the same calls for the same seed.
+/// Simulates one rollout under a baseline policy. The same seed gives the same
+/// result.
 MoveResult runBaseline(const CanaryScenario &scenario, std::uint64_t seed,
                        const BaselinePolicy &policy);
 
-/// The scenarios of both deployments, without a fault: their models and desks.
+/// The scenarios of both deployments without a fault: one for the model service
+/// and one for the desk service of each.
 std::vector<CanaryScenario> deploymentScenarios();
 
-/// The faults that the model knows, for the routes of the scenario.
+/// All simulated faults, for the routes of the scenario.
 std::vector<CanaryFault> faultsOf(const CanaryScenario &scenario);
 
 } // namespace sorrelbay
--- a/Utilities/sorrelbay-bench/Capacity.cpp
+++ b/Utilities/sorrelbay-bench/Capacity.cpp
@@ -40,7 +40,8 @@
   return out;
 }
 
-/// One call's placement, and what the daemon holds for each replica.
+/// Measures the placement of one call, and the memory that the daemon holds per
+/// replica.
 void addPlacement(std::vector<Figure> &figures) {
   for (const std::size_t count : ReplicaCounts) {
     std::vector<UpstreamState> upstreams;
@@ -64,7 +65,7 @@
   }
 }
 
-/// One prompt's placement on the platform's path.
+/// Measures the placement of one prompt on the platform's path.
 void addPromptPlacement(std::vector<Figure> &figures) {
   const ServiceId service("model");
   const Instant at = now();
@@ -93,7 +94,8 @@
   }
 }
 
-/// The host list of a region, parsed anew at each look.
+/// Measures the parsing of a region's host list, which the daemon repeats at
+/// each poll.
 void addHostList(std::vector<Figure> &figures) {
   for (const std::size_t count : ReplicaCounts) {
     nlohmann::json list = nlohmann::json::array();
@@ -124,7 +126,8 @@
   return edit;
 }
 
-/// One intent: decode the bucket, edit it, encode it again.
+/// Measures the write of one intent, which decodes, edits and encodes the
+/// bucket.
 void addLedger(std::vector<Figure> &figures) {
   const LedgerLimits limits;
   for (const std::size_t count : EntryCounts) {
@@ -166,7 +169,8 @@
   }
 }
 
-/// A bundle with so many versions: what each daemon verifies at each change.
+/// Measures the verification of a bundle by the number of its versions, which
+/// each daemon repeats at each change of the bundle.
 void addBundles(std::vector<Figure> &figures) {
   const SigningKey key = SigningKey::generate();
   for (const std::size_t count : VersionCounts) {
--- a/Utilities/sorrelbay-bench/EngineFleet.cpp
+++ b/Utilities/sorrelbay-bench/EngineFleet.cpp
@@ -11,9 +11,9 @@
 constexpr Duration ReportInterval = milliseconds(250);
 constexpr Duration StartupTime = seconds(4);
 constexpr double SpanSeconds = 2;
-/// Calls wait no longer for their first token.
+/// Wait limit of a call for its first token; the call fails beyond it.
 constexpr Duration WaitLimit = seconds(6);
-/// The tail of sizes.
+/// Standard deviation of the logarithm of the token counts.
 constexpr double SizeSpread = 0.8;
 
 ZoneId zoneName(int zone) { return ZoneId("zone" + std::to_string(zone)); }
@@ -155,7 +155,8 @@
   engine->Prefilling.push_back(std::move(call));
 }
 
-/// Prompt tokens that the engine has to read; what it reads is cached then.
+/// Returns the prompt tokens that the engine has to prefill, and adds the
+/// shared parts of the prompt to its cache.
 double EngineFleet::tokensUncached(Engine &engine, const Call &call) {
   double left = static_cast<double>(call.Tokens);
   for (std::size_t n = 0; n + 1 < call.Prompt.size(); ++n) {
@@ -203,8 +204,8 @@
     ++(isInTime ? tally->InTime : isWhole ? tally->Late : tally->Failed);
 }
 
-/// One step of the engine: a chunk of the prompts in turn, and a token for each
-/// stream.
+/// Simulates one step of the engine: decodes a token for each running stream
+/// and prefills up to one chunk of the waiting prompts in order.
 void EngineFleet::step(Engine &engine) {
   for (auto it = engine.Decoding.begin(); it != engine.Decoding.end();) {
     ++Tokens;
@@ -275,7 +276,8 @@
                      });
 }
 
-/// Engines of zones with a notice leave, and are gone when its time is over.
+/// Marks the reclaimable engines of zones with a reclaim notice as leaving, and
+/// removes them when the notice expires.
 void EngineFleet::reclaimZones() {
   for (const ZoneLoss &loss : Plan.Losses) {
     const double at = toSeconds(Now - Start) - loss.AtSeconds;
--- a/Utilities/sorrelbay-bench/EngineFleet.h
+++ b/Utilities/sorrelbay-bench/EngineFleet.h
@@ -14,8 +14,8 @@
 
 namespace sorrelbay {
 
-/// How fast one make of engine is. It reads prompts in chunks between the steps
-/// in which each running stream gets a token.
+/// Speed and sizes of one type of engine. In each step it prefills up to one
+/// chunk of prompt tokens and decodes one token for each running stream.
 struct EngineMake {
   double TokensPerMs = 140;
   double StepMs = 2.2;
@@ -26,12 +26,14 @@
   std::int64_t MemoryTokens = 440000;
 };
 
-/// One kind of call. Sizes are means; they are drawn with a long tail.
+/// One class of calls. The token counts are means of log-normal distributions,
+/// except for SharedTokens.
 struct PromptKind {
   std::string Name;
   double PerSecond = 10;
   double OwnTokens = 1000;
-  /// What the calls of one conversation share, and how many there are.
+  /// Tokens of the prompt prefix that all calls of one conversation share, and
+  /// the number of conversations.
   std::int64_t SharedTokens = 0;
   int Conversations = 1;
   double OutputTokens = 50;
@@ -39,17 +41,19 @@
   int Priority = 0;
 };
 
-/// Three kinds of call with very different prompts, so many a second in all.
+/// Three classes of calls with very different prompt lengths; the rate is their
+/// sum, in calls per second.
 std::vector<PromptKind> mixedPrompts(double perSecond);
 
-/// From then on so many times the usual calls come.
+/// From AtSeconds on, calls arrive at LoadFactor times their usual rate.
 struct LoadStep {
   double AtSeconds = 0;
   double LoadFactor = 1;
 };
 
-/// A zone loses its reclaimable engines, after a notice, and gives none for a
-/// while.
+/// The reclaim of all reclaimable engines of a zone: they end NoticeSeconds
+/// after the notice at AtSeconds, and the zone provides no reclaimable engines
+/// until UnavailableSeconds after the notice.
 struct ZoneLoss {
   double AtSeconds = 0;
   int Zone = 0;
@@ -57,7 +61,7 @@
   double UnavailableSeconds = 14;
 };
 
-/// What is played, and by which policy.
+/// The simulated engines, load and faults, and the settings of the decisions.
 struct EngineFleetPlan {
   std::uint64_t Seed = 1;
   int Hosts = 6;
@@ -68,17 +72,18 @@
   std::vector<LoadStep> Load;
   std::vector<ZoneLoss> Losses;
   int Seconds = 30;
-  /// The first engine is so many times slower than the others.
+  /// Factor by which the steps of the first engine take longer.
   double FirstIsSlower = 1;
-  /// The replica plan orders engines; otherwise their number stays.
+  /// Whether the replica autoscaler changes the number of engines.
   bool IsScaled = false;
   ReplicaTableSettings Table;
   ReplicaAutoscalerSettings Replicas;
-  /// Zero lets all calls in.
+  /// Share of a call's latency target that it may wait in a queue before it is
+  /// refused; zero admits all calls.
   double QueueWaitShare = 0.45;
 };
 
-/// What became of the calls of one kind, or of one span of time.
+/// Outcomes of the calls of one class, or of one span of time.
 struct CallTally {
   int OfferedCount = 0;
   int InTime = 0;
@@ -94,21 +99,23 @@
 struct EngineFleetResult {
   CallTally All;
   std::vector<CallTally> ByKind;
-  /// By span of two seconds, by when calls arrived.
+  /// One entry for each span of 2 s; a call counts in the span in which it
+  /// arrived.
   std::vector<CallTally> BySpan;
-  /// Of calls that came to their end, from the first token to the last.
+  /// Mean time between two tokens of a stream, in milliseconds.
   double MeanTokenMs = 0;
   double EngineSeconds = 0;
-  /// Shared prompt tokens that were read though the engine had them no longer,
-  /// or another one had.
+  /// Tokens of shared prefixes that an engine prefilled because its cache did
+  /// not hold them, whether they were evicted there or were cached by other
+  /// engines only.
   std::int64_t RecomputedSharedTokens = 0;
 
   double worstSpan() const;
 };
 
-/// Hosts that place, let in and order by the daemon's own decisions, before
-/// engines that are played, in simulated time. Hosts hear of each other's work
-/// four times a second.
+/// Simulates hosts and engines. The hosts place and admit calls and order
+/// replicas with the daemon's own decision code; the engines and the time are
+/// simulated. Each host receives the other hosts' load every 250 ms.
 class EngineFleet {
 public:
   explicit EngineFleet(const EngineFleetPlan &plan);
@@ -138,7 +145,7 @@
     Instant StepEnds{};
     std::list<Call> Prefilling;
     std::list<Call> Decoding;
-    /// Parts by when they were last used.
+    /// Cached prompt parts: time of the last use, and size in tokens.
     std::map<std::string, std::pair<Instant, std::int64_t>> Cached;
     std::int64_t CachedTokens = 0;
   };
--- a/Utilities/sorrelbay-bench/EventQueue.h
+++ b/Utilities/sorrelbay-bench/EventQueue.h
@@ -8,13 +8,13 @@
 
 namespace sorrelbay {
 
-/// The stand-ins' time: what is to happen, in order. Two events of the same
-/// time run in the order in which they were added, so that a seed always gives
-/// the same run.
+/// A queue of events in simulated time. Events of the same time run in the
+/// order in which they were added, so that the same seed gives the same run.
 class EventQueue {
 public:
   void scheduleAt(Instant when, std::function<void()> run);
-  /// Runs the events up to that time, which then is the present.
+  /// Runs all events up to and including `end`, then sets the current time to
+  /// it.
   void runUntil(Instant end);
   Instant now() const { return Now; }
 
@@ -35,7 +35,8 @@
   std::priority_queue<Event, std::vector<Event>, RunsLater> Events;
 };
 
-/// The value below which that share of the values lies; 0 if there are none.
+/// The quantile of the values for a share from 0 to 1; 0 if there are no
+/// values.
 double quantile(std::vector<double> values, double share);
 
 } // namespace sorrelbay
--- a/Utilities/sorrelbay-bench/Experiment.h
+++ b/Utilities/sorrelbay-bench/Experiment.h
@@ -7,14 +7,15 @@
 
 namespace sorrelbay {
 
-/// What the command line asks of an experiment.
+/// Options of the command line that apply to every experiment.
 struct ExperimentOptions {
-  /// Seeds 1 to Seeds are run; each gives one value of every figure.
+  /// Number of runs, with the seeds 1 to Seeds; each run gives one value of
+  /// every figure.
   std::uint64_t Seeds = 20;
 };
 
-/// One figure under one policy: its value for every seed, with its unit. The
-/// aim is text for the reader, empty where the row is a baseline's.
+/// One measured quantity under one policy, with its unit and its value for
+/// every seed. Aim is the target as text; it is empty for baselines.
 struct Figure {
   std::string Deployment;
   std::string Policy;
@@ -24,10 +25,10 @@
   std::string Aim;
 };
 
-/// The median of the values; 0 if there are none.
+/// The median of the values; 0 if there are no values.
 double median(std::vector<double> values);
 
-/// An experiment that drives the product's decision code, and its baselines on
+/// An experiment that runs the product's decision code and its baselines with
 /// the same seeds.
 struct Experiment {
   std::string Name;
@@ -35,7 +36,7 @@
   std::function<std::vector<Figure>(const ExperimentOptions &)> Run;
 };
 
-/// Each experiment is made by a function in the file pair of its name.
+/// Each of these functions is defined in the source file of its name.
 Experiment canaryExperiment();
 Experiment placementExperiment();
 Experiment admissionExperiment();
--- a/Utilities/sorrelbay-bench/HostPlanner.cpp
+++ b/Utilities/sorrelbay-bench/HostPlanner.cpp
@@ -13,7 +13,7 @@
 
 struct Deployment {
   const char *Name;
-  /// Replicas' worth of work at the busiest hour.
+  /// Demand at the busiest hour, in replicas.
   double PeakReplicas;
 };
 
@@ -22,22 +22,28 @@
 constexpr int Zones = 4;
 constexpr Duration Step = seconds(10);
 constexpr Duration SimulatedSpan = hours(48);
-/// From an order to a host that serves, its weights loaded.
+/// Time from the order of a host until it serves, including the load of its
+/// weights.
 constexpr Duration StartTime = minutes(3);
 constexpr std::int64_t OnDemandCost = 1000000;
-/// A zone's reclaimable price moves between these.
+/// Bounds of a zone's price of reclaimable hosts, as shares of the on-demand
+/// price.
 constexpr double LowestPrice = 0.2;
 constexpr double HighestPrice = 0.5;
-/// How often one zone is reclaimed, and how long it then refuses to start.
+/// Mean time between two reclaims of a zone, and for how many minutes the zone
+/// then refuses to start reclaimable hosts.
 constexpr double MeanHoursBetweenReclaims = 8;
 constexpr int MinRefusedMinutes = 5;
 constexpr int MaxRefusedMinutes = 40;
-/// A single start is refused at any time with this share.
+/// Probability that the start of a reclaimable host is refused at any other
+/// time.
 constexpr double StartRefusalRate = 0.05;
-/// What is bought above the demand that is expected by the time a host serves.
+/// Factor between the capacity that is ordered and the demand that is expected
+/// by the time a host serves.
 constexpr double Headroom = 1.1;
 
-/// One zone's prices and waves, the same for all policies of a seed.
+/// Prices, refusals and reclaims of one zone by step; the same for all policies
+/// of a seed.
 struct ZoneTrace {
   std::vector<double> Price;
   std::vector<bool> IsRefusing;
@@ -74,7 +80,8 @@
   return zone;
 }
 
-/// Two days of demand: low at night, a peak by day, and noise.
+/// Generates two days of prices and demand. The demand is low at night and
+/// peaks by day, with noise added.
 MarketTrace makeMarketTrace(const Deployment &deployment, std::uint64_t seed) {
   std::mt19937_64 random(seed);
   MarketTrace marketTrace;
@@ -91,8 +98,8 @@
   return marketTrace;
 }
 
-/// The cloud's stand-in: hosts start after a while, are charged from their
-/// order on, and go in waves.
+/// A simulated cloud. Hosts serve after StartTime, are charged from their order
+/// on, and a reclaim removes all reclaimable hosts of its zone.
 class SimulatedCloud {
 public:
   SimulatedCloud(const MarketTrace &marketTrace, std::uint64_t seed)
@@ -111,7 +118,7 @@
     return out;
   }
 
-  /// Whether the start was taken.
+  /// Orders a host; returns false if the cloud refuses to start it.
   bool create(const CreateOrder &order, std::size_t n) {
     if (order.From.IsReclaimable &&
         (zoneOf(order.From).IsRefusing[n] ||
@@ -131,9 +138,11 @@
         Hosts.end());
   }
 
-  /// Moves on to that step and returns what it costs.
+  /// Advances to step `n` and returns the cost of all hosts in it, relative to
+  /// the on-demand price.
   double advance(std::size_t n) {
-    // Notices are of seconds, less than a step.
+    // A reclaim notice lasts only seconds, less than a step, so the hosts are
+    // removed at once.
     Hosts.erase(std::remove_if(Hosts.begin(), Hosts.end(),
                                [&](const Host &it) {
                                  return it.From.IsReclaimable &&
@@ -181,7 +190,7 @@
   int NextId = 1;
 };
 
-/// A policy makes the offers that the mover may use from those there are.
+/// A policy selects the offers that the host planner may use.
 struct Policy {
   const char *Name;
   std::function<std::vector<HostOffer>(const std::vector<HostOffer> &)> Filter;
@@ -193,7 +202,8 @@
   double Demanded = 0;
 };
 
-/// One policy at work: it looks every half minute and orders what follows.
+/// Simulates one policy. The host planner runs every 30 s and its orders are
+/// carried out at once.
 class Fleet {
 public:
   explicit Fleet(const Policy &policy, const MarketTrace &marketTrace,
@@ -211,7 +221,7 @@
       const double cost = Cloud.advance(n);
       if (n % stepsIn(PlanningPeriod) == 0)
         runPlanner(n);
-      // The first start is not the mover's doing.
+      // The first hour is not counted, since every policy starts without hosts.
       if (n < stepsIn(hours(1)))
         continue;
       outcome.Cost += cost;
@@ -222,7 +232,7 @@
   }
 
 private:
-  /// The demand expected by the time that a host ordered now would serve.
+  /// The capacity needed by the time that a host ordered now would serve.
   double expectedDemand(std::size_t n) const {
     const std::size_t ahead = stepsIn(StartTime);
     const std::size_t before = n >= ahead ? n - ahead : 0;
@@ -237,7 +247,8 @@
     plannerInput.Offers = OfferPolicy.Filter(Cloud.offers(n));
     plannerInput.Capacity = expectedDemand(n);
     plannerInput.Hosts = Cloud.list();
-    // What was live and is not listed has gone.
+    // Hosts that were listed in the last run and no longer are have been
+    // reclaimed.
     for (const auto &it : LastListed)
       if (std::none_of(plannerInput.Hosts.begin(), plannerInput.Hosts.end(),
                        [&](const CloudHost &host) { return host.Id == it.Id; }))
@@ -269,8 +280,8 @@
   return out;
 }
 
-/// The cheapest offer alone: the mix can't outlast a zone's loss then, and
-/// holds just the number that is needed.
+/// Selects only the cheapest offer. With one offer the plan has no reserve for
+/// the loss of a zone, so it holds only the needed number of hosts.
 std::vector<HostOffer> onlyCheapest(const std::vector<HostOffer> &offers) {
   HostOffer best = offers.front();
   for (const HostOffer &it : offers)
@@ -279,8 +290,8 @@
   return {best};
 }
 
-/// The cost of someone who knows the future: at each moment just the hosts that
-/// the demand needs, in the cheapest zone that does not refuse.
+/// Lower bound of the cost: at each step exactly the hosts that the demand
+/// needs, in the cheapest zone that does not refuse them or else on demand.
 double lowerBound(const MarketTrace &marketTrace) {
   double cost = 0;
   for (std::size_t n = stepsIn(hours(1)); n < marketTrace.Demand.size(); ++n) {
--- a/Utilities/sorrelbay-bench/Overload.cpp
+++ b/Utilities/sorrelbay-bench/Overload.cpp
@@ -5,13 +5,13 @@
 
 namespace {
 
-/// A deployment and what its callers ask of it.
+/// A simulated deployment and its load.
 struct OverloadCase {
   std::string Deployment;
   EngineFleetPlan Plan;
 };
 
-/// A policy as a change of the plan.
+/// A policy, as a change to the plan of a simulation.
 struct Policy {
   std::string Name;
   std::function<void(EngineFleetPlan &)> Apply;
--- a/Utilities/sorrelbay-bench/Placement.cpp
+++ b/Utilities/sorrelbay-bench/Placement.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// The model side of one deployment. The calls a second put the engines at
-/// about 70% of what they compute under least connections.
+/// The model service of one deployment. CallsPerSecond uses about 70% of the
+/// engines' prefill capacity under least connections.
 struct Deployment {
   const char *Name;
   int Replicas;
@@ -32,8 +32,9 @@
 constexpr double PromptTokensPerSecond = 8000;
 constexpr int CallSlots = 48;
 constexpr Duration TokenGap = milliseconds(30);
-/// What an engine keeps of prompts: little, where half of all turns come after
-/// their prefix has gone whatever the policy, and enough.
+/// Sizes of an engine's prompt cache, in tokens. With the small one, half of
+/// all turns arrive after their prefix was evicted, whatever the policy; the
+/// large one is sufficient.
 const std::int64_t CacheSizes[] = {120000, 300000};
 constexpr Duration ReportPeriod = seconds(1);
 constexpr Duration ReportLag = milliseconds(500);
@@ -42,24 +43,26 @@
 constexpr double CacheEventLost = 0.2;
 constexpr Duration SimulatedSpan = minutes(10);
 constexpr Duration WarmUp = minutes(2);
-/// Every minute starts with ten seconds at twice the rate of the rest.
+/// In the first ten seconds of every minute, conversations arrive at twice the
+/// rate of the rest of the minute.
 constexpr int BurstPeriodSeconds = 60;
 constexpr int BurstSeconds = 10;
 constexpr double BurstFactor = 2;
 
-/// A conversation: each turn repeats all of it and adds to it.
+/// An open conversation. The prompt of each turn contains all previous turns.
 struct OpenConversation {
   ConversationKey Key;
   int EntryHost = 0;
   Instant AddressUntil;
   std::int64_t Tokens = 0;
-  /// Of these, what engines have computed before.
+  /// How many of these tokens an engine has computed in an earlier turn.
   std::int64_t Computed = 0;
   int TurnsLeft = 0;
 };
 
-/// One engine: computes prompts one after the other, keeps the conversations
-/// that it used last, and holds a place for each answer that it generates.
+/// A simulated engine. It prefills prompts one after the other, caches the most
+/// recently used conversations, and holds a call slot for each response that it
+/// generates.
 class SimulatedEngine {
 public:
   explicit SimulatedEngine(std::int64_t cacheTokens)
@@ -146,8 +149,8 @@
   std::int64_t CacheUse = 0;
 };
 
-/// How one entry host chooses; what it hears is told to it by the same hooks
-/// under every policy.
+/// The placement policy of one entry host. All policies receive the same
+/// notifications through these hooks.
 struct Chooser {
   std::function<UpstreamId(const std::vector<UpstreamState> &,
                            const PlacementRequest &, Instant)>
@@ -178,7 +181,8 @@
   return chooser;
 }
 
-/// The upstream with the fewest own calls, ties broken by the seed.
+/// The upstream with the fewest open calls of this entry host; the seed breaks
+/// ties.
 const UpstreamState &leastLoaded(const std::vector<UpstreamState> &upstreams,
                                  std::uint64_t seed) {
   const std::size_t offset = seed % upstreams.size();
@@ -200,8 +204,10 @@
   return chooser;
 }
 
-/// TDA as in the paper: bases given in turn, kept while below AC connections,
-/// else moved to the least loaded.
+/// Type-dependent assignment (TDA) as in the paper. Each conversation is
+/// assigned a base upstream in round-robin order. It keeps its base while the
+/// base has fewer than ActiveConnectionsLimit open calls, and is otherwise
+/// reassigned to the least loaded upstream.
 Chooser typeDependentAssignment(const Deployment & /*deployment*/) {
   constexpr int ActiveConnectionsLimit = 5;
   struct State {
@@ -228,8 +234,8 @@
   return chooser;
 }
 
-/// Always the same upstream for a conversation, whatever its load: the fewest
-/// recomputed tokens that any policy could have, but for the cache's limit.
+/// Always the same upstream for a conversation, whatever the load. Apart from
+/// evictions, no policy recomputes fewer tokens.
 Chooser affinityOnly(const Deployment & /*deployment*/) {
   Chooser chooser;
   chooser.Choose = [](const std::vector<UpstreamState> &upstreams,
@@ -275,8 +281,8 @@
   std::vector<double> FirstTokenMs;
 };
 
-/// One run: conversations come in, think between their turns, and now and then
-/// get another entry host's address.
+/// One run: conversations arrive, pause between their turns, and resolve the
+/// address of an entry host again once the previous one has expired.
 class Run {
 public:
   Run(const Deployment &deployment, std::int64_t cacheTokens,
@@ -480,7 +486,7 @@
           {"without a home", noAssumedCache}};
 }
 
-/// The figures of one policy in one setting, over all seeds.
+/// The figures of one policy for one deployment and cache size, over all seeds.
 std::vector<Figure> measure(const Deployment &deployment,
                             std::int64_t cacheTokens, const Policy &policy,
                             std::uint64_t seeds) {
--- a/Utilities/sorrelbay-bench/Recovery.cpp
+++ b/Utilities/sorrelbay-bench/Recovery.cpp
@@ -11,7 +11,7 @@
   double Load;
 };
 
-/// At the higher load the engines that are left can't hold all answers.
+/// At the load of 0.9 the remaining engines can't hold all answers.
 constexpr Deployment Deployments[] = {{"Tablón Sur", 9, 0.6},
                                       {"Tablón Sur, full", 9, 0.9},
                                       {"Caltagirone", 12, 0.6},
@@ -38,7 +38,8 @@
 
 } // namespace
 
-/// The reclaim of one zone, with a notice that the seed draws.
+/// Simulates the reclaim of one zone; the seed determines the zone and the
+/// length of the notice.
 static FleetResult reclaimZone(const Deployment &deployment,
                                const NamedPolicy &policy, std::uint64_t seed) {
   std::mt19937_64 random(seed * 7919);
--- a/Utilities/sorrelbay-bench/RecoveryFleet.h
+++ b/Utilities/sorrelbay-bench/RecoveryFleet.h
@@ -10,35 +10,37 @@
 
 namespace sorrelbay {
 
-/// What the wire between the engines and the entry host does to tokens; the
-/// probability of each for one token, or for one attempt's end.
+/// Faults of the connections between engines, entry host and callers; each
+/// value is the probability of the fault for one token, or for the end of one
+/// attempt.
 struct WireFaults {
   double Lost = 0;
   double Late = 0;
   double Misrouted = 0;
   double Duplicated = 0;
   double Truncated = 0;
-  /// The caller's connection breaks with events on their way.
+  /// The caller's connection breaks while events are in flight.
   double CallerCut = 0;
-  /// An export or import fails.
+  /// The export or import of a KV cache fails.
   double MoveFails = 0;
 };
 
-/// How the open answers of a reclaimed engine are dealt with.
+/// How the open answers of a reclaimed engine are recovered.
 enum class RecoveryPolicy {
   Planned,
-  /// Each starts again from its prompt at the notice.
+  /// At the notice, restarts each answer from its prompt.
   RestartAll,
-  /// Each is resumed by prefix at the notice, on the least loaded engine.
+  /// At the notice, resumes each answer after its last token on the least
+  /// loaded engine, which prefills the prompt and the tokens so far.
   ResumeAtOnce,
-  /// Nothing until the engine is gone; then as ResumeAtOnce.
+  /// Waits until the engine has stopped; then as ResumeAtOnce.
   WaitUntilGone,
-  /// Nothing at all.
+  /// Recovers no answer.
   Nothing,
 };
 
-/// A reclaim: which engines, when, and how long before their end notice is
-/// given.
+/// A reclaim of engines: At is the time of the notice, and Notice the time from
+/// then until the engines stop.
 struct Reclaim {
   std::vector<std::size_t> Engines;
   Duration At{};
@@ -48,16 +50,17 @@
 struct FleetSettings {
   std::size_t Engines = 9;
   std::size_t Zones = 4;
-  /// Answers that an engine serves within its latency target.
+  /// Most concurrent answers that an engine serves within its latency target.
   std::uint32_t Capacity = 16;
   double Load = 0.6;
-  /// Until then each answer that ends is followed by a new one, if an engine
-  /// that stays has room for it.
+  /// Until this time, each answer that ends is followed by a new one if an
+  /// engine that is not reclaimed has a free slot.
   Duration ArrivalsUntil{};
   RecoverySettings Recovery;
   RecoveryPolicy Policy = RecoveryPolicy::Planned;
   WireFaults Faults;
-  /// Tokens reach the caller as they arrive, without AnswerStream's checks.
+  /// Sends tokens to the caller as they arrive, without the checks of
+  /// AnswerStream.
   bool TrustsArrivals = false;
   std::vector<Reclaim> Reclaims;
 };
@@ -66,18 +69,18 @@
   std::uint64_t Recomputed = 0;
   std::uint64_t Moved = 0;
   std::uint64_t Resumed = 0;
-  /// The most answers beyond its capacity on any engine.
+  /// Most answers beyond its capacity that any engine had.
   std::uint32_t MostOverload = 0;
-  /// The longest wait of a caller between two tokens.
+  /// Longest time between two tokens of an answer.
   Duration LongestGap{};
   std::uint64_t Answers = 0;
-  /// Answers that their caller has byte for byte, ended once.
+  /// Answers whose caller received exactly the expected text and one end.
   std::uint64_t Whole = 0;
 };
 
-/// A few engines that decode one token a step for each of their answers, a wire
-/// with faults, and callers that put their texts together; the entry host's
-/// side is the product's own decisions.
+/// Simulates engines that decode one token per step for each of their answers,
+/// connections with faults, and callers that assemble the texts. The entry host
+/// runs the product's decision code.
 class RecoveryFleet {
 public:
   RecoveryFleet(FleetSettings settings, std::uint64_t seed)
@@ -92,9 +95,9 @@
       addAnswer(Engines[i % Settings.Engines], false);
   }
 
-  /// Runs until all answers have ended, or nothing more can come.
+  /// Runs until all answers have ended, or for MaxSimulatedSteps steps.
   FleetResult run() {
-    for (Step = 0; Step < MostSteps && Open > 0; ++Step)
+    for (Step = 0; Step < MaxSimulatedSteps && Open > 0; ++Step)
       step();
     Result.Answers = Callers.size();
     for (std::size_t i = 0; i < Callers.size(); ++i)
@@ -102,7 +105,7 @@
     return Result;
   }
 
-  /// The zone's engines, for a reclaim.
+  /// Indices of the zone's engines, for Reclaim::Engines.
   std::vector<std::size_t> enginesOf(std::size_t zone) const {
     std::vector<std::size_t> found;
     for (std::size_t i = zone; i < Settings.Engines; i += Settings.Zones)
@@ -111,8 +114,8 @@
   }
 
 private:
-  static constexpr std::uint64_t MostSteps = 20000;
-  /// A silent attempt is given up after that many steps.
+  static constexpr std::uint64_t MaxSimulatedSteps = 20000;
+  /// Steps without progress after which an attempt counts as lost.
   static constexpr std::uint64_t MaxSilentSteps = 60;
 
   struct Attempt {
@@ -132,7 +135,7 @@
     std::uint64_t Length;
     std::vector<AnswerEvent> Received;
     std::uint64_t LastToken;
-    /// The last token or begin of an attempt.
+    /// Step of the last token, or of the last start or loss of an attempt.
     std::uint64_t LastProgress;
     bool AwaitsFirstToken;
     UpstreamId At;
@@ -184,7 +187,7 @@
     open.PromptTokens = 50 + static_cast<std::uint64_t>(prompt(Random));
     const auto whole = 20 + static_cast<std::uint64_t>(length(Random));
     open.TokensSoFar = isNew ? 0 : drawBetween(0, whole - 1);
-    // The entry host only has an estimate.
+    // The entry host has only an estimate of the length.
     open.ExpectedLength = whole * drawBetween(70, 140) / 100;
     if (happens(0.3))
       open.Cached.push_back({Engines[drawBetween(0, Engines.size() - 1)].Id,
@@ -346,7 +349,8 @@
         engine.Attempts.begin(), engine.Attempts.end(), [&](const Attempt &it) {
           return it.Caller == attempt.Caller && it.Number == attempt.Number;
         });
-    // A recovery caused by an earlier token of this step may have ended it.
+    // A recovery that an earlier token of this step caused may have cancelled
+    // the attempt.
     if (own == engine.Attempts.end())
       return;
     const RequestId &request = Callers[attempt.Caller].Description.Request;
@@ -479,7 +483,7 @@
     Transfers.erase(split, Transfers.end());
     for (const Transfer &it : done) {
       const RequestId &request = Callers[it.Caller].Description.Request;
-      // The plan drops what it no longer waits for.
+      // The plan has dropped the moves of a stopped engine.
       if (!engine(it.From).IsAlive || !engine(it.To).IsAlive)
         continue;
       if (happens(Settings.Faults.MoveFails)) {
@@ -491,7 +495,8 @@
     }
   }
 
-  /// Sends the caller what there is; its connection may break on the way.
+  /// Sends all pending events to the caller, whose connection may break for
+  /// each of them; it then reconnects after the last event that it received.
   void drain(std::size_t index) {
     Caller &caller = Callers[index];
     if (Settings.TrustsArrivals)
--- a/Utilities/sorrelbay-bench/Report.cpp
+++ b/Utilities/sorrelbay-bench/Report.cpp
@@ -73,7 +73,7 @@
       << "' font-family='sans-serif' font-size='12'>\n";
   int y = 0;
   for (const Figure &it : figures) {
-    // Bars are drawn to the scale of the same figure under other policies.
+    // Bars are scaled to the largest median of this figure under any policy.
     double top = 0;
     for (const Figure &other : figures)
       if (other.Name == it.Name && other.Deployment == it.Deployment)
--- a/Utilities/sorrelbay-bench/Report.h
+++ b/Utilities/sorrelbay-bench/Report.h
@@ -4,14 +4,14 @@
 
 namespace sorrelbay {
 
-/// The figures as an aligned table: median and range over the seeds, and the
-/// aim.
+/// Renders the figures as an aligned table with the median and range over the
+/// seeds, and the aim.
 std::string renderTable(const std::vector<Figure> &figures);
 
-/// The figures as one JSON document with every seed's value.
+/// Renders the figures as one JSON document with the value of every seed.
 std::string renderJson(const std::vector<Figure> &figures);
 
-/// Writes the medians as horizontal bars, one group a figure, to an SVG file.
+/// Writes an SVG file with one horizontal bar for the median of each figure.
 void writePlot(const std::vector<Figure> &figures, const std::string &path);
 
 } // namespace sorrelbay
--- a/Utilities/sorrelbay-bench/Slope.h
+++ b/Utilities/sorrelbay-bench/Slope.h
@@ -8,23 +8,25 @@
 
 namespace sorrelbay {
 
-/// The size at which something was measured.
+/// The size of the input of a measurement: how many items of which kind.
 struct MeasuredSize {
   std::string CountedItem;
   std::size_t Count = 0;
 };
 
-/// The mean time of one call, in microseconds; the first call is not counted.
+/// Mean time of one call in microseconds. Makes one more call beforehand that
+/// is not measured.
 double microsecondsPerCall(int calls, const std::function<void(int)> &work);
 
-/// By how many bytes of heap the process is larger after the work.
+/// Heap growth of the process during `work`, in bytes.
 double heapGrowth(const std::function<void()> &work);
 
-/// Adds a time of a role to the figures, beside earlier values of the same.
+/// Adds a time per call to the role's figure for this quantity and size, which
+/// is created if it does not exist.
 void addTimePerCall(std::vector<Figure> &figures, const std::string &role,
                     const std::string &quantity, const MeasuredSize &size,
                     double callMicroseconds);
-/// The same for a number of bytes.
+/// Adds a number of bytes in the same way.
 void addBytes(std::vector<Figure> &figures, const std::string &role,
               const std::string &quantity, const MeasuredSize &size,
               double bytes);
--- a/Utilities/sorrelbay-bench/main.cpp
+++ b/Utilities/sorrelbay-bench/main.cpp
@@ -6,7 +6,7 @@
 
 using namespace sorrelbay;
 
-/// Every experiment there is; one line each.
+/// All experiments, in the order in which they run.
 static std::vector<Experiment> experiments() {
   return {
       canaryExperiment(),    capacityExperiment(),    placementExperiment(),
@@ -16,17 +16,19 @@
 }
 
 int main(int argc, char **argv) {
-  CLI::App app("Measures sorrelbay's decisions beside simple baselines.");
+  CLI::App app("Measures sorrelbay's decision code against simple baselines.");
   app.set_version_flag("--version", SORRELBAY_VERSION);
   ExperimentOptions options;
   bool json = false;
   std::string plot;
   std::vector<std::string> names;
-  app.add_option("experiments", names, "which to run; all if none is named");
-  app.add_option("--seeds", options.Seeds, "seeds 1 to this number are run")
+  app.add_option("experiments", names,
+                 "experiments to run; all of them by default");
+  app.add_option("--seeds", options.Seeds,
+                 "number of runs, with seeds 1 to this number")
       ->check(CLI::Range(1, 100000));
-  app.add_flag("--json", json, "print one JSON document");
-  app.add_option("--plot", plot, "write the medians as an SVG file");
+  app.add_flag("--json", json, "print the figures as one JSON document");
+  app.add_option("--plot", plot, "SVG file to write the medians to");
   CLI11_PARSE(app, argc, argv);
 
   std::vector<Figure> all;
--- a/Utilities/sorrelbay-load/LoadRun.cpp
+++ b/Utilities/sorrelbay-load/LoadRun.cpp
@@ -31,8 +31,8 @@
   return call;
 }
 
-/// Counts events without parsing them, so that the load costs little beside
-/// what it measures.
+/// Counts events without parsing them, to keep the load generator's own
+/// processor time small compared with what it measures.
 std::uint64_t countEvents(std::string_view data) {
   static const std::string_view contentKey = "\"content\"";
   std::uint64_t n = 0;
@@ -42,7 +42,7 @@
   return n;
 }
 
-/// One answer; what it saw is added to the result.
+/// Makes one call and adds its measurements to the result.
 void runCall(const LoadOptions &options, std::size_t number, LoadResult &result,
              std::mutex &mutex) {
   std::uint64_t tokens = 0;
@@ -112,7 +112,7 @@
   const std::size_t afterName = text.rfind(')');
   if (afterName == std::string::npos)
     return usage;
-  // Fields 14 and 15 are user and system time; the name was field 2.
+  // Fields 14 and 15 are the user and system time; the process name is field 2.
   std::istringstream fields(text.substr(afterName + 1));
   std::string field;
   for (int n = 3; n < 14; ++n)
--- a/Utilities/sorrelbay-load/LoadRun.h
+++ b/Utilities/sorrelbay-load/LoadRun.h
@@ -7,25 +7,26 @@
 
 namespace sorrelbay {
 
-/// What load to make.
+/// The load to generate.
 struct LoadOptions {
-  /// "ip:port" of a daemon, or of an engine for comparison.
+  /// Address ("ip:port") of a daemon, or of an engine for comparison.
   std::string Target;
   std::string Model = "model";
   std::string Team = "crew";
-  /// Streams that are open at the same time.
+  /// Number of concurrent streams.
   std::size_t Streams = 1;
-  /// Answers that each stream asks for, one after the other.
+  /// Calls that each stream makes, one after the other.
   std::size_t Rounds = 1;
   std::uint64_t Tokens = 40;
-  /// Each stream waits so long after the one before it has begun, so that
-  /// arrivals are spread as they are from many callers.
+  /// Delay between the starts of two streams, which spreads the first calls as
+  /// independent callers would.
   Duration Stagger = milliseconds(5);
 };
 
-/// What callers saw of the load.
+/// The load as its callers measured it.
 struct LoadResult {
-  /// From sending the call to its first token, one an answer.
+  /// Time from sending a call to its first token, for each call that received a
+  /// token.
   std::vector<Duration> FirstTokens;
   std::uint64_t Tokens = 0;
   std::uint64_t CompleteResponses = 0;
@@ -33,20 +34,24 @@
   Duration Elapsed{};
 };
 
-/// Makes the load from threads of this process and waits for its end.
+/// Generates the load with one thread per stream and waits until all calls have
+/// ended.
 LoadResult runLoad(const LoadOptions &options);
 
-/// The value below which that share of the spans lies; zero if there is none.
+/// The quantile of the durations for a share from 0 to 1; zero if there are no
+/// durations.
 Duration quantile(std::vector<Duration> durations, double share);
 
-/// What a process has used: processor time since its start and memory now.
+/// Resource usage of a process: processor time since its start, and its current
+/// resident memory and threads.
 struct ProcessUsage {
   Duration Processor{};
   std::uint64_t ResidentBytes = 0;
   std::uint64_t Threads = 0;
 };
 
-/// Reads the usage of a process from /proc; zeros if there is no such process.
+/// Reads the resource usage of a process from /proc; all zero if there is no
+/// such process.
 ProcessUsage readProcessUsage(int processId);
 
 } // namespace sorrelbay
--- a/Utilities/sorrelbay-load/main.cpp
+++ b/Utilities/sorrelbay-load/main.cpp
@@ -11,7 +11,8 @@
 
 double toMs(Duration span) { return toSeconds(span) * 1000; }
 
-/// Watches a process while the load runs and keeps its largest memory.
+/// Samples the usage of a process every 50 ms while the load runs and keeps the
+/// peak memory and number of threads.
 class PeakUsageSampler {
 public:
   explicit PeakUsageSampler(int processId)
@@ -55,20 +56,27 @@
 } // namespace
 
 int main(int argc, char **argv) {
-  CLI::App app("Puts load on a daemon and says what its callers saw.");
+  CLI::App app(
+      "Generates load on a daemon and reports its latency and throughput.");
   app.set_version_flag("--version", SORRELBAY_VERSION);
   LoadOptions options;
   std::string direct;
   int processId = 0;
-  app.add_option("--target", options.Target, "a daemon's ip:port")->required();
-  app.add_option("--direct", direct,
-                 "an engine's ip:port, called the same way for comparison");
-  app.add_option("--process", processId, "the daemon's process id");
-  app.add_option("--streams", options.Streams, "open at the same time")
+  app.add_option("--target", options.Target,
+                 "address of the daemon, as ip:port")
+      ->required();
+  app.add_option(
+      "--direct", direct,
+      "address of an engine, as ip:port, that gets the same load first for "
+      "comparison");
+  app.add_option("--process", processId,
+                 "process id of the daemon, to report its resource usage");
+  app.add_option("--streams", options.Streams, "number of concurrent streams")
       ->check(CLI::Range(1, 2000));
-  app.add_option("--rounds", options.Rounds, "answers for each stream")
+  app.add_option("--rounds", options.Rounds,
+                 "calls per stream, one after the other")
       ->check(CLI::Range(1, 1000));
-  app.add_option("--tokens", options.Tokens, "of each answer")
+  app.add_option("--tokens", options.Tokens, "tokens per response")
       ->check(CLI::Range(1, 100000));
   CLI11_PARSE(app, argc, argv);
 
@@ -91,11 +99,11 @@
     std::cout << "daemon: " << toSeconds(used) << " s of processor time, "
               << static_cast<double>(result.Tokens) /
                      std::max(toSeconds(used), 0.01)
-              << " tokens a second of it; peak "
+              << " tokens per second of it; peak "
               << static_cast<double>(sampler.PeakBytes) / 1e6 << " MB, "
               << sampler.PeakThreads << " threads, "
               << growthBytes / 1e3 / static_cast<double>(options.Streams)
-              << " kB more a stream\n";
+              << " kB more per stream\n";
   }
   return result.FailedResponses == 0 ? 0 : 1;
 }
