--- a/Utilities/sorrelbay-bench/CanaryModel.cpp
+++ b/Utilities/sorrelbay-bench/CanaryModel.cpp
@@ -219,21 +219,21 @@
     return out;
   }
 
-  void at(Instant when, std::function<void()> what) {
-    Events.push({when, Order++, std::move(what)});
+  void at(Instant when, std::function<void()> daemonAction) {
+    Events.push({when, Order++, std::move(daemonAction)});
   }
 
   /// Runs the function now, or once the daemon resumes if it is paused. Drops
   /// it if the daemon was restarted in the meantime.
   void runOnDaemon(std::size_t n, unsigned incarnationNumber,
-                   std::function<void()> what) {
+                   std::function<void()> daemonAction) {
     Daemon &daemon = Daemons[n];
     if (daemon.IncarnationNumber != incarnationNumber)
       return;
     if (daemon.IsPaused)
-      daemon.Deferred.push_back(std::move(what));
+      daemon.Deferred.push_back(std::move(daemonAction));
     else
-      what();
+      daemonAction();
   }
 
   void startDaemon(std::size_t n) {
@@ -335,12 +335,12 @@
     sendMessage(to, Daemons[to].IncarnationNumber,
                 [this, from, to, gossipReport, askedAt, incarnationNumber] {
                   receive(to, *gossipReport);
-                  const auto answer = currentReport(Daemons[to]);
+                  const auto replyReport = currentReport(Daemons[to]);
                   sendMessage(from, incarnationNumber,
-                              [this, from, to, answer, askedAt] {
+                              [this, from, to, replyReport, askedAt] {
                                 Daemons[from].Freshness.answered(
                                     Daemons[to].Self.Host, askedAt);
-                                receive(from, *answer);
+                                receive(from, *replyReport);
                               });
                 });
   }
@@ -358,15 +358,15 @@
 
   /// Delivers a message, which may be lost, delayed or duplicated.
   void sendMessage(std::size_t to, unsigned incarnationNumber,
-                   const std::function<void()> &what) {
+                   const std::function<void()> &daemonAction) {
     if (Calls.draw() < Scenario.GossipLost)
       return;
     const int copies = Calls.draw() < Scenario.GossipRepeated ? 2 : 1;
     for (int n = 0; n < copies; ++n) {
       const double part = 0.2 + 0.8 * Calls.draw();
       at(Now + fromSeconds(toSeconds(Scenario.GossipDelay) * part),
-         [this, to, incarnationNumber, what] {
-           runOnDaemon(to, incarnationNumber, what);
+         [this, to, incarnationNumber, daemonAction] {
+           runOnDaemon(to, incarnationNumber, daemonAction);
          });
     }
   }
@@ -440,10 +440,10 @@
       HasReferenceVeto = true;
       Result.CallsBeforeReferenceVeto = Result.CallsToFault;
     }
-    EvidenceKey known = key;
+    EvidenceKey recordedKey = key;
     if (!Variant.JudgesPerRoute)
-      known.OnRoute = Plan.Routes.front().Id;
-    daemon.Knowledge.Evidence.record(daemon.Self, known, outcome);
+      recordedKey.OnRoute = Plan.Routes.front().Id;
+    daemon.Knowledge.Evidence.record(daemon.Self, recordedKey, outcome);
     daemon.LastReport = nullptr;
     if (outcome != UpstreamOutcome::Good)
       update(daemon);
--- a/Utilities/sorrelbay-bench/EngineFleet.h
+++ b/Utilities/sorrelbay-bench/EngineFleet.h
@@ -106,8 +106,8 @@
   double MeanTokenMs = 0;
   double EngineSeconds = 0;
   /// Tokens of shared prefixes that an engine prefilled because its cache did
-  /// not hold them, whether they were evicted there or were cached by other
-  /// engines only.
+  /// not hold them: at their first use, after an eviction, or because only
+  /// other engines had cached them.
   std::int64_t RecomputedSharedTokens = 0;
 
   double worstSpan() const;
--- a/Utilities/sorrelbay-bench/HostPlanner.cpp
+++ b/Utilities/sorrelbay-bench/HostPlanner.cpp
@@ -247,7 +247,7 @@
     plannerInput.Offers = OfferPolicy.Filter(Cloud.offers(n));
     plannerInput.Capacity = expectedDemand(n);
     plannerInput.Hosts = Cloud.list();
-    // Hosts that were listed in the last run and no longer are have been
+    // Hosts that were listed after the last run but are missing now were
     // reclaimed.
     for (const auto &it : LastListed)
       if (std::none_of(plannerInput.Hosts.begin(), plannerInput.Hosts.end(),
--- a/Utilities/sorrelbay-bench/Slope.cpp
+++ b/Utilities/sorrelbay-bench/Slope.cpp
@@ -27,9 +27,9 @@
                      const char *unit, double value) {
   const std::string name =
       quantity + ", " + std::to_string(size.Count) + " " + size.CountedItem;
-  const auto it =
-      std::find_if(figures.begin(), figures.end(), [&](const Figure &known) {
-        return known.Policy == role && known.Name == name;
+  const auto it = std::find_if(
+      figures.begin(), figures.end(), [&](const Figure &existingFigure) {
+        return existingFigure.Policy == role && existingFigure.Name == name;
       });
   if (it != figures.end()) {
     it->Values.push_back(value);
