--- a/Utilities/sorrelbay-bench/Capacity.cpp
+++ b/Utilities/sorrelbay-bench/Capacity.cpp
@@ -40,7 +40,8 @@
   return out;
 }
 
-/// One call's placement, and what the daemon holds for each replica.
+/// Measures the placement of one call, and the memory that the daemon holds per
+/// replica.
 void addPlacement(std::vector<Figure> &figures) {
   for (const std::size_t count : ReplicaCounts) {
     std::vector<UpstreamState> upstreams;
@@ -57,14 +58,14 @@
       const PlacementChoice choice = placement.choose(upstreams, request, at);
       placement.noteSent(*choice.Upstream, request, choice.CachedTokens, at);
     };
-    addSlope(figures, "model calls", "choose an upstream", {"replicas", count},
-             microsecondsPerCall(Calls, choose));
+    addTimePerCall(figures, "model calls", "choose an upstream",
+                   {"replicas", count}, microsecondsPerCall(Calls, choose));
     addBytes(figures, "model calls", "an upstream's state", {"replicas", count},
              bytes / static_cast<double>(count));
   }
 }
 
-/// One prompt's placement on the platform's path.
+/// Measures the placement of one prompt on the platform's path.
 void addPromptPlacement(std::vector<Figure> &figures) {
   const ServiceId service("model");
   const Instant at = now();
@@ -88,12 +89,13 @@
       table.noteSent(choice->Id, {choice->TokensToPrefill, 9000}, at);
       table.notePrompt(choice->Id, request.Prompt, at);
     };
-    addSlope(figures, "prompts", "place a prompt", {"replicas", count},
-             microsecondsPerCall(Calls, place));
+    addTimePerCall(figures, "prompts", "place a prompt", {"replicas", count},
+                   microsecondsPerCall(Calls, place));
   }
 }
 
-/// The host list of a region, parsed anew at each look.
+/// Measures the parsing of a region's host list, which the daemon repeats at
+/// each poll.
 void addHostList(std::vector<Figure> &figures) {
   for (const std::size_t count : ReplicaCounts) {
     nlohmann::json list = nlohmann::json::array();
@@ -105,8 +107,8 @@
                       {"version", "model-1"}});
     const std::string text = list.dump();
     const auto parse = [&](int) { parseHostList(text); };
-    addSlope(figures, "membership", "parse a host list", {"replicas", count},
-             microsecondsPerCall(20, parse));
+    addTimePerCall(figures, "membership", "parse a host list",
+                   {"replicas", count}, microsecondsPerCall(20, parse));
     addBytes(figures, "membership", "a host list entry on the wire",
              {"replicas", count},
              static_cast<double>(text.size()) / static_cast<double>(count));
@@ -124,7 +126,8 @@
   return edit;
 }
 
-/// One intent: decode the bucket, edit it, encode it again.
+/// Measures the write of one intent, which decodes, edits and encodes the
+/// bucket.
 void addLedger(std::vector<Figure> &figures) {
   const LedgerLimits limits;
   for (const std::size_t count : EntryCounts) {
@@ -138,8 +141,8 @@
       copy.apply(intentOf(count + static_cast<std::size_t>(n)), limits, at);
       encodeBucket(copy);
     };
-    addSlope(figures, "ledger", "put an intent into a bucket",
-             {"entries", count}, microsecondsPerCall(20, update));
+    addTimePerCall(figures, "ledger", "put an intent into a bucket",
+                   {"entries", count}, microsecondsPerCall(20, update));
     addBytes(figures, "ledger", "an entry of a bucket", {"entries", count},
              static_cast<double>(body.size()) / static_cast<double>(count));
   }
@@ -159,13 +162,15 @@
     });
     addBytes(figures, "tickets", "a call of a ticket in memory",
              {"entries", count}, bytes / static_cast<double>(count));
-    addSlope(figures, "tickets", "run a call of a ticket", {"entries", count},
-             microsecondsPerCall(
-                 Calls, [&](int n) { run(n + static_cast<int>(count)); }));
+    addTimePerCall(figures, "tickets", "run a call of a ticket",
+                   {"entries", count}, microsecondsPerCall(Calls, [&](int n) {
+                     run(n + static_cast<int>(count));
+                   }));
   }
 }
 
-/// A bundle with so many versions: what each daemon verifies at each change.
+/// Measures the verification of a bundle by the number of its versions, which
+/// each daemon repeats at each change of the bundle.
 void addBundles(std::vector<Figure> &figures) {
   const SigningKey key = SigningKey::generate();
   for (const std::size_t count : VersionCounts) {
@@ -191,8 +196,8 @@
     const auto verify = [&](int) {
       verifyBundle(decodeSignedBundle(bytes), {key.publicKey()});
     };
-    addSlope(figures, "bundles", "verify and decode a bundle",
-             {"versions", count}, microsecondsPerCall(20, verify));
+    addTimePerCall(figures, "bundles", "verify and decode a bundle",
+                   {"versions", count}, microsecondsPerCall(20, verify));
     addBytes(figures, "bundles", "a version with its part of the rest",
              {"versions", count},
              static_cast<double>(bytes.size()) / static_cast<double>(count));
--- a/Utilities/sorrelbay-bench/EventQueue.h
+++ b/Utilities/sorrelbay-bench/EventQueue.h
@@ -8,13 +8,13 @@
 
 namespace sorrelbay {
 
-/// The stand-ins' time: what is to happen, in order. Two events of the same
-/// time run in the order in which they were added, so that a seed always gives
-/// the same run.
+/// A queue of events in simulated time. Events of the same time run in the
+/// order in which they were added, so that the same seed gives the same run.
 class EventQueue {
 public:
-  void at(Instant when, std::function<void()> run);
-  /// Runs the events up to that time, which then is the present.
+  void scheduleAt(Instant when, std::function<void()> run);
+  /// Runs all events up to and including `end`, then sets the current time to
+  /// it.
   void runUntil(Instant end);
   Instant now() const { return Now; }
 
@@ -24,18 +24,19 @@
     std::uint64_t Order;
     std::function<void()> Run;
   };
-  struct Later {
+  struct RunsLater {
     bool operator()(const Event &a, const Event &b) const {
       return a.At != b.At ? a.At > b.At : a.Order > b.Order;
     }
   };
 
   Instant Now{};
-  std::uint64_t Added = 0;
-  std::priority_queue<Event, std::vector<Event>, Later> Events;
+  std::uint64_t NextOrder = 0;
+  std::priority_queue<Event, std::vector<Event>, RunsLater> Events;
 };
 
-/// The value below which that share of the values lies; 0 if there are none.
+/// The quantile of the values for a share from 0 to 1; 0 if there are no
+/// values.
 double quantile(std::vector<double> values, double share);
 
 } // namespace sorrelbay
--- a/Utilities/sorrelbay-load/main.cpp
+++ b/Utilities/sorrelbay-load/main.cpp
@@ -11,21 +11,22 @@
 
 double toMs(Duration span) { return toSeconds(span) * 1000; }
 
-/// Watches a process while the load runs and keeps its largest memory.
-class PeakWatch {
+/// Samples the usage of a process every 50 ms while the load runs and keeps the
+/// peak memory and number of threads.
+class PeakUsageSampler {
 public:
-  explicit PeakWatch(int processId)
+  explicit PeakUsageSampler(int processId)
       : Before(readProcessUsage(processId)), Worker([this, processId] {
           while (!IsDone) {
-            const ProcessUsage seen = readProcessUsage(processId);
-            PeakBytes = std::max(PeakBytes, seen.ResidentBytes);
-            PeakThreads = std::max(PeakThreads, seen.Threads);
+            const ProcessUsage usageSample = readProcessUsage(processId);
+            PeakBytes = std::max(PeakBytes, usageSample.ResidentBytes);
+            PeakThreads = std::max(PeakThreads, usageSample.Threads);
             std::this_thread::sleep_for(milliseconds(50));
           }
         }) {}
-  ~PeakWatch() { finish(); }
-  PeakWatch(const PeakWatch &) = delete;
-  PeakWatch &operator=(const PeakWatch &) = delete;
+  ~PeakUsageSampler() { finish(); }
+  PeakUsageSampler(const PeakUsageSampler &) = delete;
+  PeakUsageSampler &operator=(const PeakUsageSampler &) = delete;
 
   void finish() {
     IsDone = true;
@@ -46,7 +47,7 @@
   std::cout << name << ": first token median "
             << toMs(quantile(result.FirstTokens, 0.5)) << " ms, p99 "
             << toMs(quantile(result.FirstTokens, 0.99)) << " ms; "
-            << result.WholeAnswers << " whole, " << result.BrokenAnswers
+            << result.CompleteResponses << " whole, " << result.FailedResponses
             << " broken; "
             << static_cast<double>(result.Tokens) / toSeconds(result.Elapsed)
             << " tokens/s\n";
@@ -55,46 +56,54 @@
 } // namespace
 
 int main(int argc, char **argv) {
-  CLI::App app("Puts load on a daemon and says what its callers saw.");
+  CLI::App app(
+      "Generates load on a daemon and reports its latency and throughput.");
   app.set_version_flag("--version", SORRELBAY_VERSION);
   LoadOptions options;
   std::string direct;
   int processId = 0;
-  app.add_option("--target", options.Target, "a daemon's ip:port")->required();
-  app.add_option("--direct", direct,
-                 "an engine's ip:port, called the same way for comparison");
-  app.add_option("--process", processId, "the daemon's process id");
-  app.add_option("--streams", options.Streams, "open at the same time")
+  app.add_option("--target", options.Target,
+                 "address of the daemon, as ip:port")
+      ->required();
+  app.add_option(
+      "--direct", direct,
+      "address of an engine, as ip:port, that gets the same load first for "
+      "comparison");
+  app.add_option("--process", processId,
+                 "process id of the daemon, to report its resource usage");
+  app.add_option("--streams", options.Streams, "number of concurrent streams")
       ->check(CLI::Range(1, 2000));
-  app.add_option("--rounds", options.Rounds, "answers for each stream")
+  app.add_option("--rounds", options.Rounds,
+                 "calls per stream, one after the other")
       ->check(CLI::Range(1, 1000));
-  app.add_option("--tokens", options.Tokens, "of each answer")
+  app.add_option("--tokens", options.Tokens, "tokens per response")
       ->check(CLI::Range(1, 100000));
   CLI11_PARSE(app, argc, argv);
 
   std::cout << std::fixed << std::setprecision(2);
   if (!direct.empty()) {
-    LoadOptions compared = options;
-    compared.Target = direct;
-    print("direct", runLoad(compared));
+    LoadOptions directOptions = options;
+    directOptions.Target = direct;
+    print("direct", runLoad(directOptions));
   }
-  PeakWatch watch(processId);
+  PeakUsageSampler sampler(processId);
   const LoadResult result = runLoad(options);
-  watch.finish();
+  sampler.finish();
   print("relayed", result);
   if (processId != 0) {
     const ProcessUsage after = readProcessUsage(processId);
-    const Duration used = after.Processor - watch.Before.Processor;
-    const double grown = static_cast<double>(watch.PeakBytes) -
-                         static_cast<double>(watch.Before.ResidentBytes);
+    const Duration used = after.Processor - sampler.Before.Processor;
+    const double growthBytes =
+        static_cast<double>(sampler.PeakBytes) -
+        static_cast<double>(sampler.Before.ResidentBytes);
     std::cout << "daemon: " << toSeconds(used) << " s of processor time, "
               << static_cast<double>(result.Tokens) /
                      std::max(toSeconds(used), 0.01)
-              << " tokens a second of it; peak "
-              << static_cast<double>(watch.PeakBytes) / 1e6 << " MB, "
-              << watch.PeakThreads << " threads, "
-              << grown / 1e3 / static_cast<double>(options.Streams)
-              << " kB more a stream\n";
+              << " tokens per second of it; peak "
+              << static_cast<double>(sampler.PeakBytes) / 1e6 << " MB, "
+              << sampler.PeakThreads << " threads, "
+              << growthBytes / 1e3 / static_cast<double>(options.Streams)
+              << " kB more per stream\n";
   }
-  return result.BrokenAnswers == 0 ? 0 : 1;
+  return result.FailedResponses == 0 ? 0 : 1;
 }
