--- a/Libraries/LibPeer/FleetLink.cpp
+++ b/Libraries/LibPeer/FleetLink.cpp
@@ -6,27 +6,27 @@
 
 namespace sorrelbay {
 
-/// Between two tries to connect to the same peer.
-static constexpr Duration ConnectPause = milliseconds(500);
-/// A try that has not come about by then is given up.
-static constexpr Duration ConnectPatience = seconds(1);
+/// The interval between two attempts to connect to the same peer.
+static constexpr Duration ReconnectInterval = milliseconds(500);
+/// An attempt that takes longer than this is aborted.
+static constexpr Duration ConnectAttemptTimeout = seconds(1);
 
 struct FleetLink::Impl {
   struct Peer {
     std::string Address;
     ConnectionId Connection = 0;
     bool IsOpen = false;
-    Instant TriedAt{};
+    Instant LastAttemptAt{};
   };
 
-  explicit Impl(Hooks hooks) : Told(std::move(hooks)) {}
+  explicit Impl(Hooks hooks) : MessageHooks(std::move(hooks)) {}
 
   PeerSocketEvents events();
   void received(ConnectionId connection, const std::string &bytes);
   void closed(ConnectionId connection);
   void drop(Peer &peer);
 
-  Hooks Told;
+  Hooks MessageHooks;
   std::unique_ptr<PeerSocket> Socket;
   std::map<HostId, Peer> Peers;
   std::map<ConnectionId, HostId> Outgoing;
@@ -52,11 +52,11 @@
   try {
     const FleetMessage message = decodeFleetMessage(bytes);
     if (const auto *report = std::get_if<FleetReport>(&message))
-      Told.OnReport(*report);
+      MessageHooks.OnReport(*report);
     else
-      Told.OnRelayedChanges(std::get<RelayedChanges>(message));
+      MessageHooks.OnRelayedChanges(std::get<RelayedChanges>(message));
   } catch (const PeerMessageRefused &error) {
-    LogLine(Severity::Warning, "peer message refused")
+    LogLine(Severity::Warning, "refused a message from a peer")
         .field("why", error.what());
     Socket->close(connection);
   }
@@ -107,11 +107,12 @@
     peer.Address = address;
     if (peer.IsOpen)
       continue;
-    if (peer.Connection != 0 && now - peer.TriedAt > ConnectPatience)
+    if (peer.Connection != 0 &&
+        now - peer.LastAttemptAt > ConnectAttemptTimeout)
       All->drop(peer);
-    if (peer.Connection != 0 || now - peer.TriedAt < ConnectPause)
+    if (peer.Connection != 0 || now - peer.LastAttemptAt < ReconnectInterval)
       continue;
-    peer.TriedAt = now;
+    peer.LastAttemptAt = now;
     peer.Connection = All->Socket->connect(peer.Address);
     All->Outgoing[peer.Connection] = id;
   }
--- a/Libraries/LibPeer/FleetLink.h
+++ b/Libraries/LibPeer/FleetLink.h
@@ -15,10 +15,11 @@
 
 namespace sorrelbay {
 
-/// Sends this host's messages to those peers that it has something to tell, and
-/// hears what any peer tells. Each host keeps a connection of its own to each
-/// of them and speaks only on that one; a connection that has broken or gone
-/// silent is made anew. Belongs to the loop's thread.
+/// Exchanges messages with the other entry hosts. Each host opens one
+/// connection to each peer that it sends to and sends only on connections that
+/// it has opened itself; it receives on connections from any peer. A connection
+/// that has failed or gone silent is replaced. Must be used only on the loop's
+/// thread.
 class FleetLink {
 public:
   struct Hooks {
@@ -26,7 +27,7 @@
     std::function<void(const RelayedChanges &)> OnRelayedChanges;
   };
 
-  /// Listens on "ip:port". Throws PeerListenFailed.
+  /// Listens on "ip:port". Throws PeerListenFailed if it can't.
   FleetLink(boost::asio::io_context &loop, const std::string &listen,
             Hooks hooks);
   ~FleetLink();
@@ -34,10 +35,12 @@
   FleetLink &operator=(const FleetLink &) = delete;
 
   std::string address() const;
-  /// The peers to be connected to, and where they listen; connections to
-  /// others end. Begins to connect where there is no connection.
+  /// Sets the peers to connect to, with the addresses that they listen on.
+  /// Closes the connections to all other peers and starts to connect to the
+  /// peers without a connection. To be called repeatedly; `now` is used for the
+  /// timeout and the interval of the attempts.
   void keep(const std::map<HostId, std::string> &peers, Instant now);
-  /// Sends the message to those of the peers whose connection is open.
+  /// Sends the message to each of the peers that has an open connection.
   void send(const std::vector<HostId> &peers, const std::string &bytes);
 
   struct Impl;
--- a/Libraries/LibPeer/FleetReportCodec.cpp
+++ b/Libraries/LibPeer/FleetReportCodec.cpp
@@ -6,12 +6,13 @@
 
 using nlohmann::json;
 
-/// Changed whenever hosts of two versions would misread each other.
+/// Must be changed whenever the format changes incompatibly, so that hosts of
+/// different versions do not misread each other.
 static constexpr int FormatNumber = 6;
 
 namespace {
 
-enum class MessageKind { Report, News };
+enum class MessageKind { Report, ChangeRelay };
 
 std::string toBytes(const json &message) {
   const auto bytes = json::to_cbor(message);
@@ -60,7 +61,7 @@
   FleetReport report;
   const int scope = all.at(2).get<int>();
   if (scope < 0 || scope > static_cast<int>(ReportScope::OwnZone))
-    throw PeerMessageRefused("a report of an unknown scope");
+    throw PeerMessageRefused("fleet report has an unknown scope");
   report.Scope = static_cast<ReportScope>(scope);
   report.Reporter = HostId(all.at(3).get<std::string>());
   report.Zone = ZoneId(all.at(4).get<std::string>());
@@ -91,17 +92,17 @@
   return report;
 }
 
-RelayedChanges toNews(const json &all) {
-  RelayedChanges news;
+RelayedChanges toRelayedChanges(const json &all) {
+  RelayedChanges relayedChanges;
   const auto kind = all.at(2).get<std::size_t>();
   if (kind >= ResourceKindCount)
-    throw PeerMessageRefused("news of an unknown kind");
-  news.Kind = static_cast<ResourceKind>(kind);
-  all.at(3).get_to(news.From);
-  all.at(4).get_to(news.Changes.AtRevision);
-  all.at(5).get_to(news.IsTruncated);
-  news.Age = Duration(all.at(6).get<std::int64_t>());
-  all.at(7).get_to(news.Echo);
+    throw PeerMessageRefused("relayed changes have an unknown resource kind");
+  relayedChanges.Kind = static_cast<ResourceKind>(kind);
+  all.at(3).get_to(relayedChanges.From);
+  all.at(4).get_to(relayedChanges.Changes.AtRevision);
+  all.at(5).get_to(relayedChanges.IsTruncated);
+  relayedChanges.Age = Duration(all.at(6).get<std::int64_t>());
+  all.at(7).get_to(relayedChanges.Echo);
   for (const json &it : all.at(8)) {
     ResourceChange change;
     it.at(0).get_to(change.Object.Name);
@@ -109,9 +110,9 @@
     it.at(2).get_to(change.Object.Status);
     it.at(3).get_to(change.Object.Revision);
     it.at(4).get_to(change.IsRemoved);
-    news.Changes.Changes.push_back(change);
+    relayedChanges.Changes.Changes.push_back(change);
   }
-  return news;
+  return relayedChanges;
 }
 
 } // namespace
@@ -141,27 +142,28 @@
                   fromTeams(report.Pace), demand, included});
 }
 
-std::string encodeFleetMessage(const RelayedChanges &news) {
+std::string encodeFleetMessage(const RelayedChanges &relayedChanges) {
   json changes = json::array();
-  for (const ResourceChange &it : news.Changes.Changes)
+  for (const ResourceChange &it : relayedChanges.Changes.Changes)
     changes.push_back({it.Object.Name, it.Object.Body, it.Object.Status,
                        it.Object.Revision, it.IsRemoved});
-  return toBytes({FormatNumber, static_cast<int>(MessageKind::News),
-                  static_cast<int>(news.Kind), news.From,
-                  news.Changes.AtRevision, news.IsTruncated, news.Age.count(),
-                  news.Echo, changes});
+  return toBytes({FormatNumber, static_cast<int>(MessageKind::ChangeRelay),
+                  static_cast<int>(relayedChanges.Kind), relayedChanges.From,
+                  relayedChanges.Changes.AtRevision, relayedChanges.IsTruncated,
+                  relayedChanges.Age.count(), relayedChanges.Echo, changes});
 }
 
 FleetMessage decodeFleetMessage(const std::string &bytes) {
   try {
     const json all = json::from_cbor(bytes);
     if (all.at(0).get<int>() != FormatNumber)
-      throw PeerMessageRefused("a message of another format");
-    if (all.at(1).get<int>() == static_cast<int>(MessageKind::News))
-      return toNews(all);
+      throw PeerMessageRefused(
+          "fleet message has an unsupported format number");
+    if (all.at(1).get<int>() == static_cast<int>(MessageKind::ChangeRelay))
+      return toRelayedChanges(all);
     return toReport(all);
   } catch (const json::exception &error) {
-    throw PeerMessageRefused(std::string("not a fleet message: ") +
+    throw PeerMessageRefused(std::string("fleet message can't be decoded: ") +
                              error.what());
   }
 }
--- a/Libraries/LibPeer/FleetReportCodec.h
+++ b/Libraries/LibPeer/FleetReportCodec.h
@@ -7,13 +7,14 @@
 
 namespace sorrelbay {
 
-/// What entry hosts send each other.
+/// The messages that entry hosts send to each other.
 using FleetMessage = std::variant<FleetReport, RelayedChanges>;
 
-/// Either as CBOR.
+/// Encodes the message as CBOR.
 std::string encodeFleetMessage(const FleetReport &report);
-std::string encodeFleetMessage(const RelayedChanges &news);
-/// The inverse. Throws PeerMessageRefused.
+std::string encodeFleetMessage(const RelayedChanges &relayedChanges);
+/// Decodes a message. Throws PeerMessageRefused if it is malformed or has
+/// another format number.
 FleetMessage decodeFleetMessage(const std::string &bytes);
 
 } // namespace sorrelbay
--- a/Libraries/LibPeer/HelloProof.cpp
+++ b/Libraries/LibPeer/HelloProof.cpp
@@ -14,8 +14,8 @@
   return reinterpret_cast<const unsigned char *>(text.data());
 }
 
-/// The hello with its length before it, so that no two pairs of hellos give
-/// the same text.
+/// Returns the encoded hello with its length as a prefix, so that no two pairs
+/// of hellos have the same concatenation.
 static std::string framed(const PeerHello &hello) {
   const std::string text = encodePeerMessage(hello);
   return std::to_string(text.size()) + ":" + text;
@@ -24,7 +24,7 @@
 std::string makeNonce() {
   std::array<unsigned char, NonceBytes> buf{};
   const bool isFilled = RAND_bytes(buf.data(), buf.size()) == 1;
-  verifyInvariant(isFilled, "nonce-is-random", "no random bytes can be had");
+  verifyInvariant(isFilled, "nonce-is-random", "RAND_bytes failed");
   return {buf.begin(), buf.end()};
 }
 
--- a/Libraries/LibPeer/HelloProof.h
+++ b/Libraries/LibPeer/HelloProof.h
@@ -5,21 +5,21 @@
 
 namespace sorrelbay {
 
-/// Which side of a connection speaks. Part of what is proved, so that a proof
-/// can't be thrown back at its sender.
+/// The side of a connection that sends a message. The proof covers it, so that
+/// a proof can't be reflected to its sender.
 enum class PeerRole { Opener, Accepter };
 
-/// The least length of a peer secret, in bytes.
+/// The minimum length of a peer secret, in bytes.
 constexpr std::size_t MinSecretBytes = 16;
 /// The length of a nonce, in bytes.
 constexpr std::size_t NonceBytes = 16;
 
-/// A new nonce from the system's random source.
+/// Returns a new nonce of NonceBytes cryptographically secure random bytes.
 std::string makeNonce();
 
-/// The proof that the sender of `own` holds the secret: an HMAC (SHA-256) over
-/// its role and both hellos. It holds for this connection only, since each side
-/// chose one nonce afresh.
+/// Returns the proof that the sender of `own` holds the secret: an HMAC-SHA-256
+/// over its role and both hellos. It is valid for this connection only, since
+/// each side contributes a new nonce.
 PeerProof makeProof(const std::string &secret, PeerRole role,
                     const PeerHello &own, const PeerHello &other);
 
--- a/Libraries/LibPeer/HostTable.cpp
+++ b/Libraries/LibPeer/HostTable.cpp
@@ -2,42 +2,47 @@
 
 namespace sorrelbay {
 
-static constexpr Duration PromisingFor = seconds(60);
-static constexpr Duration RememberedFor = minutes(10);
-
-void HostTable::noteNews(const std::map<HostId, HostReport> &news, Instant at) {
-  for (const auto &entry : news) {
-    const auto [it, isNew] = All.emplace(entry.first, Heard{at, false});
+/// No attempt is made to connect to a host that has been silent for longer.
+static constexpr Duration MaxSilenceToConnect = seconds(60);
+/// A host that has been silent for longer is removed.
+static constexpr Duration MaxSilenceToKeep = minutes(10);
+
+void HostTable::recordNewReports(const std::map<HostId, HostReport> &newReports,
+                                 Instant at) {
+  for (const auto &entry : newReports) {
+    const auto [it, isNew] =
+        HostActivities.emplace(entry.first, HostActivity{at, false});
     it->second.LastAt = at;
-    it->second.HasGrown = !isNew;
+    it->second.HasNewerReport = !isNew;
   }
 }
 
-void HostTable::noteAlive(const HostId &host, Instant at) {
-  All[host] = {at, true};
+void HostTable::recordContact(const HostId &host, Instant at) {
+  HostActivities[host] = {at, true};
 }
 
-bool HostTable::isLiving(const HostId &host, Instant at,
-                         Duration livingFor) const {
-  const auto it = All.find(host);
-  return it != All.end() && it->second.HasGrown &&
-         at - it->second.LastAt <= livingFor;
+bool HostTable::wasSeenRecently(const HostId &host, Instant at,
+                                Duration seenWithin) const {
+  const auto it = HostActivities.find(host);
+  return it != HostActivities.end() && it->second.HasNewerReport &&
+         at - it->second.LastAt <= seenWithin;
 }
 
 bool HostTable::isWorthConnecting(const HostId &host, Instant at) const {
-  const auto it = All.find(host);
-  return it != All.end() && at - it->second.LastAt <= PromisingFor;
+  const auto it = HostActivities.find(host);
+  return it != HostActivities.end() &&
+         at - it->second.LastAt <= MaxSilenceToConnect;
 }
 
-void HostTable::eraseDeadHosts(PeerKnowledge &knowledge, const HostId &self,
-                               Instant at) {
-  for (auto it = All.begin(); it != All.end();) {
-    if (it->first == self || at - it->second.LastAt <= RememberedFor) {
+void HostTable::eraseSilentHosts(PeerKnowledge &knowledge, const HostId &self,
+                                 Instant at) {
+  for (auto it = HostActivities.begin(); it != HostActivities.end();) {
+    if (it->first == self || at - it->second.LastAt <= MaxSilenceToKeep) {
       ++it;
       continue;
     }
     knowledge.Hosts.erase(it->first);
-    it = All.erase(it);
+    it = HostActivities.erase(it);
   }
 }
 
--- a/Libraries/LibPeer/HostTable.h
+++ b/Libraries/LibPeer/HostTable.h
@@ -5,29 +5,36 @@
 
 namespace sorrelbay {
 
-/// When the reports of the entry hosts last grew, as seen from this one, which
-/// tells the living from those that peers only remember.
+/// When this host last received a newer report from or about each entry host.
+/// Distinguishes recently seen hosts from those that only remain in the
+/// knowledge of peers.
 class HostTable {
 public:
-  /// Notes the reports that were new here.
-  void noteNews(const std::map<HostId, HostReport> &news, Instant at);
-  /// The host is linked to this one and answers.
-  void noteAlive(const HostId &host, Instant at);
-  /// Whether callers may be sent there: it was heard of more than once, lately.
-  /// A first report proves nothing; a peer may remember it from long ago.
-  bool isLiving(const HostId &host, Instant at, Duration livingFor) const;
-  /// Whether it is worth a try to connect there.
+  /// Records reports that are newer than the known ones.
+  void recordNewReports(const std::map<HostId, HostReport> &newReports,
+                        Instant at);
+  /// Records a message that was received directly from the host.
+  void recordContact(const HostId &host, Instant at);
+  /// Returns whether callers may be sent to the host: it has been seen within
+  /// the given time, either directly or by at least two reports. A first report
+  /// alone does not count, since a peer may have kept it for a long time.
+  bool wasSeenRecently(const HostId &host, Instant at,
+                       Duration seenWithin) const;
+  /// Returns whether the host has been seen recently enough for an attempt to
+  /// connect to it.
   bool isWorthConnecting(const HostId &host, Instant at) const;
-  /// Drops the hosts that were not heard of for long, here and in the
-  /// knowledge.
-  void eraseDeadHosts(PeerKnowledge &knowledge, const HostId &self, Instant at);
+  /// Removes hosts that have been silent for a long time, both here and in the
+  /// knowledge. Keeps `self`.
+  void eraseSilentHosts(PeerKnowledge &knowledge, const HostId &self,
+                        Instant at);
 
 private:
-  struct Heard {
+  struct HostActivity {
     Instant LastAt{};
-    bool HasGrown = false;
+    /// Whether the host was seen directly or by more than one report.
+    bool HasNewerReport = false;
   };
-  std::map<HostId, Heard> All;
+  std::map<HostId, HostActivity> HostActivities;
 };
 
 } // namespace sorrelbay
--- a/Libraries/LibPeer/MeshActions.h
+++ b/Libraries/LibPeer/MeshActions.h
@@ -7,36 +7,37 @@
 
 namespace sorrelbay {
 
-/// One connection for its whole life; never used again after it.
+/// Identifies a connection. Identifiers are never reused.
 using ConnectionId = std::uint64_t;
 
-/// What a mesh does with its connections. The transport calls back into
-/// MeshState when a connection opens, closes or brings a message, never from
-/// inside one of these.
+/// The operations of a mesh on its connections. The transport calls MeshState
+/// when a connection is opened or closed or has received a message, but never
+/// from inside one of these functions.
 struct MeshTransport {
-  /// Begins to connect to "address:port".
+  /// Starts to connect to "address:port".
   std::function<ConnectionId(const std::string &address)> Connect;
   std::function<void(ConnectionId, const std::string &bytes)> Send;
-  /// Ends the connection at once; nothing is heard of it afterwards.
+  /// Closes the connection immediately. No further event of it is reported.
   std::function<void(ConnectionId)> Close;
-  /// The other side has proved who it is: messages may be long from now on.
+  /// Raises the limit on the size of received messages, once the peer is
+  /// authenticated.
   std::function<void(ConnectionId)> Trust;
 };
 
-/// Gives the answer to a peer's request; may be called from any thread, once.
+/// Sends the reply to a peer's request. May be called once, from any thread.
 using PeerRespond = std::function<void(const PeerReply &)>;
 
-/// What a mesh tells its owner. Called on the mesh's thread, with none of its
-/// locks held; must not block.
+/// The callbacks of a mesh to its owner. They are called on the mesh's thread
+/// without any of its locks held and must not block.
 struct MeshHooks {
-  /// Whether the bundle that a peer sent is signed off and has the generation
-  /// that the mark names, whether or not it is newer than the owner's. A
-  /// refused one is dropped and counted.
+  /// Returns whether the signature of a peer's bundle is valid and the bundle
+  /// has the generation that the mark names, even if it is not newer than the
+  /// owner's. A bundle that is not accepted is dropped and counted.
   std::function<bool(const BundleMark &)> AcceptBundle;
-  /// Something new was learnt; only that is passed.
+  /// Called with the part of a peer's update that was not known before.
   std::function<void(const PeerKnowledge &)> OnKnowledge;
-  /// All that the peer knew at that time, by this host's clock, is known here,
-  /// but for what other hosts counted and reported.
+  /// Called when all that the peer knew at the given time, by this host's
+  /// clock, is known here, except counters and reports of other hosts.
   std::function<void(const HostId &, Instant)> OnFresh;
   std::function<void(const HostId &, const PeerRequest &, PeerRespond)>
       OnRequest;
--- a/Libraries/LibPeer/MeshCounts.h
+++ b/Libraries/LibPeer/MeshCounts.h
@@ -4,7 +4,7 @@
 
 namespace sorrelbay {
 
-/// Counts since the start, for metrics.
+/// The counters of a mesh since its start, for metrics. LiveLinks is a gauge.
 struct MeshCounts {
   std::uint64_t HandshakeFailures = 0;
   std::uint64_t RefusedMessages = 0;
--- a/Libraries/LibPeer/MeshState.cpp
+++ b/Libraries/LibPeer/MeshState.cpp
@@ -4,11 +4,11 @@
 
 namespace sorrelbay {
 
-/// Connections that have not proved who they are; more are turned away, or a
-/// port scan could use up all files.
-static constexpr std::size_t MaxGreetings = 64;
-/// A host is held for living for the time of so many of its reports.
-static constexpr int LivingReports = 5;
+/// The maximum number of connections in the handshake. Further ones are closed,
+/// since a port scan could otherwise exhaust the file descriptors.
+static constexpr std::size_t MaxHandshakes = 64;
+/// A host counts as recently seen for this many report intervals.
+static constexpr int RecentReportIntervals = 5;
 
 MeshState::MeshState(MeshSettings settings, MeshTransport transport,
                      MeshHooks hooks, Instant at)
@@ -29,16 +29,15 @@
 }
 
 void MeshState::dropAll() {
-  while (!All.empty())
-    drop(All.begin()->first);
+  while (!LinksByConnection.empty())
+    drop(LinksByConnection.begin()->first);
 }
 
 void MeshState::detectPause(Instant at) {
   // After a pause (a stopped process, a frozen machine) the sockets still hold
-  // messages from before it. Taken for signs of life they would make old
-  // knowledge look fresh, so the connections go and new ones bring what holds
-  // now.
-  const bool wasPaused = at - LastEventAt > pace().SilenceTimeout;
+  // messages from before it, which would make stale knowledge look fresh. New
+  // connections bring the current state.
+  const bool wasPaused = at - LastEventAt > intervals().SilenceTimeout;
   LastEventAt = at;
   if (wasPaused)
     dropAll();
@@ -47,31 +46,31 @@
 void MeshState::addLink(ConnectionId connection, PeerRole role,
                         std::string address, Instant at) {
   PeerHello own{Settings.Self, Settings.Incarnation, makeNonce()};
-  All.emplace(connection,
-              PeerLink(role, std::move(address), std::move(own), at));
+  LinksByConnection.emplace(
+      connection, PeerLink(role, std::move(address), std::move(own), at));
 }
 
 void MeshState::accepted(ConnectionId connection, Instant at) {
   detectPause(at);
-  std::size_t greetings = 0;
-  for (const auto &entry : All)
-    greetings += entry.second.Stage == LinkStage::Handshaking ? 1 : 0;
-  if (greetings >= MaxGreetings) {
+  std::size_t handshakes = 0;
+  for (const auto &entry : LinksByConnection)
+    handshakes += entry.second.Stage == LinkStage::Handshaking ? 1 : 0;
+  if (handshakes >= MaxHandshakes) {
     Transport.Close(connection);
     return;
   }
   addLink(connection, PeerRole::Accepter, "", at);
-  greet(connection, at);
+  startHandshake(connection, at);
 }
 
 void MeshState::opened(ConnectionId connection, Instant at) {
   detectPause(at);
-  if (All.count(connection) != 0)
-    greet(connection, at);
+  if (LinksByConnection.count(connection) != 0)
+    startHandshake(connection, at);
 }
 
-void MeshState::greet(ConnectionId connection, Instant at) {
-  PeerLink &link = All.at(connection);
+void MeshState::startHandshake(ConnectionId connection, Instant at) {
+  PeerLink &link = LinksByConnection.at(connection);
   link.Stage = LinkStage::Handshaking;
   link.LastSeenAt = at;
   send(connection, link.own());
@@ -79,12 +78,12 @@
 
 void MeshState::closed(ConnectionId connection, Instant at) {
   detectPause(at);
-  All.erase(connection);
+  LinksByConnection.erase(connection);
   Requests.connectionClosed(connection);
 }
 
 void MeshState::drop(ConnectionId connection) {
-  All.erase(connection);
+  LinksByConnection.erase(connection);
   Transport.Close(connection);
   Requests.connectionClosed(connection);
 }
@@ -96,19 +95,20 @@
 void MeshState::received(ConnectionId connection, const std::string &bytes,
                          Instant at) {
   detectPause(at);
-  const auto it = All.find(connection);
-  if (it == All.end())
+  const auto it = LinksByConnection.find(connection);
+  if (it == LinksByConnection.end())
     return;
   it->second.LastSeenAt = at;
   try {
     handle(connection, decodePeerMessage(bytes), at);
   } catch (const PeerHandshakeFailed &error) {
     ++Counts.HandshakeFailures;
-    LogLine(Severity::Warning, "wrong peer hello").field("why", error.what());
+    LogLine(Severity::Warning, "peer handshake failed")
+        .field("why", error.what());
     drop(connection);
   } catch (const PeerMessageRefused &error) {
     ++Counts.RefusedMessages;
-    LogLine(Severity::Warning, "peer message refused")
+    LogLine(Severity::Warning, "refused a message from a peer")
         .field("why", error.what());
     drop(connection);
   }
@@ -116,47 +116,49 @@
 
 void MeshState::handle(ConnectionId connection, const PeerMessage &message,
                        Instant at) {
-  PeerLink &link = All.at(connection);
+  PeerLink &link = LinksByConnection.at(connection);
   if (const auto *hello = std::get_if<PeerHello>(&message)) {
     if (hello->Host == Settings.Self &&
         hello->Incarnation == Settings.Incarnation) {
-      // A seed may be this daemon itself, under any of its addresses.
+      // A seed may be an address of this daemon itself.
       if (!link.Address.empty())
         OwnAddresses.insert(link.Address);
       drop(connection);
       return;
     }
-    send(connection, link.greet(*hello, Settings.Secrets.front()));
+    send(connection, link.acceptHello(*hello, Settings.Secrets.front()));
     return;
   }
   if (const auto *proof = std::get_if<PeerProof>(&message)) {
-    link.prove(*proof, Settings.Secrets);
+    link.verifyProof(*proof, Settings.Secrets);
     becomeLive(connection, at);
     return;
   }
   if (link.Stage != LinkStage::Live)
-    throw PeerHandshakeFailed("a peer spoke before it proved who it is");
+    throw PeerHandshakeFailed(
+        "peer sent a message before the handshake was complete");
   handleLive(connection, message, at);
 }
 
 bool MeshState::dropDuplicateLink(ConnectionId connection) {
-  const PeerLink &link = All.at(connection);
-  for (const auto &[twinConnection, twin] : All) {
-    if (twinConnection == connection || twin.Stage != LinkStage::Live ||
-        twin.host() != link.host())
+  const PeerLink &link = LinksByConnection.at(connection);
+  for (const auto &[duplicateConnection, duplicateLink] : LinksByConnection) {
+    if (duplicateConnection == connection ||
+        duplicateLink.Stage != LinkStage::Live ||
+        duplicateLink.host() != link.host())
       continue;
-    // Both hosts may have connected at once. Both must keep the same one, so
-    // the lower id's counts; in all other cases the peer has given the older
-    // one up.
-    const bool isCrossed =
-        twin.incarnation() == link.incarnation() && twin.Role != link.Role;
-    const bool isLowersOwn =
+    // Both hosts may have connected at the same time. They must keep the same
+    // connection, so they keep the one opened by the host with the lower id. In
+    // all other cases the peer has already dropped the older connection.
+    const bool isCrossed = duplicateLink.incarnation() == link.incarnation() &&
+                           duplicateLink.Role != link.Role;
+    const bool isOpenedByLowerId =
         (Settings.Self < link.host()) == (link.Role == PeerRole::Opener);
-    if (isCrossed && !isLowersOwn) {
+    if (isCrossed && !isOpenedByLowerId) {
       drop(connection);
       return true;
     }
-    drop(twinConnection);
+    drop(duplicateConnection);
     return false;
   }
   return false;
@@ -165,60 +167,64 @@
 void MeshState::becomeLive(ConnectionId connection, Instant at) {
   if (dropDuplicateLink(connection))
     return;
-  PeerLink &link = All.at(connection);
+  PeerLink &link = LinksByConnection.at(connection);
   Transport.Trust(connection);
   link.UsedAt = at;
-  Heard.noteAlive(link.host(), at);
-  sendUpdate(connection, Mine);
+  SeenHosts.recordContact(link.host(), at);
+  sendUpdate(connection, LocalKnowledge);
   sendRequests();
 }
 
 void MeshState::handleLive(ConnectionId connection, const PeerMessage &message,
                            Instant at) {
-  const HostId host = All.at(connection).host();
-  Heard.noteAlive(host, at);
-  if (const auto *news = std::get_if<PeerUpdate>(&message))
-    takeNews(connection, news->Knowledge, at);
+  const HostId host = LinksByConnection.at(connection).host();
+  SeenHosts.recordContact(host, at);
+  if (const auto *peerUpdate = std::get_if<PeerUpdate>(&message))
+    mergeUpdate(connection, peerUpdate->Knowledge, at);
   else if (const auto *heartbeat = std::get_if<PeerHeartbeat>(&message))
-    answerHeartbeat(connection, *heartbeat);
-  else if (const auto *alive = std::get_if<PeerHeartbeatReply>(&message))
-    Hooks.OnFresh(host, alive->AskedAt);
+    replyToHeartbeat(connection, *heartbeat);
+  else if (const auto *heartbeatReply =
+               std::get_if<PeerHeartbeatReply>(&message))
+    Hooks.OnFresh(host, heartbeatReply->HeartbeatSentAt);
   else if (const auto *reply = std::get_if<PeerReply>(&message))
     Requests.replied(connection, *reply);
   else if (const auto *request = std::get_if<PeerRequest>(&message))
     Hooks.OnRequest(host, *request,
-                    [this, connection](const PeerReply &answer) {
-                      respond(connection, answer);
+                    [this, connection](const PeerReply &peerReply) {
+                      respond(connection, peerReply);
                     });
 }
 
-void MeshState::answerHeartbeat(ConnectionId connection,
-                                const PeerHeartbeat &heartbeat) {
+void MeshState::replyToHeartbeat(ConnectionId connection,
+                                 const PeerHeartbeat &heartbeat) {
   sendUpdate(connection, promptUpdate());
-  send(connection, PeerHeartbeatReply{heartbeat.AskedAt});
+  send(connection, PeerHeartbeatReply{heartbeat.HeartbeatSentAt});
 }
 
-void MeshState::takeNews(ConnectionId connection, PeerKnowledge news,
-                         Instant at) {
-  if (Mine.Bundle < news.Bundle && !Hooks.AcceptBundle(news.Bundle)) {
+void MeshState::mergeUpdate(ConnectionId connection,
+                            PeerKnowledge receivedKnowledge, Instant at) {
+  if (LocalKnowledge.Bundle < receivedKnowledge.Bundle &&
+      !Hooks.AcceptBundle(receivedKnowledge.Bundle)) {
     ++Counts.RefusedBundles;
-    LogLine(Severity::Warning, "peer's bundle refused")
-        .field("peer", All.at(connection).host().text());
-    news.Bundle = {};
+    LogLine(Severity::Warning, "refused a bundle from a peer")
+        .field("peer", LinksByConnection.at(connection).host().text());
+    receivedKnowledge.Bundle = {};
   }
-  merge(All.at(connection).Theirs, news);
-  const PeerKnowledge fresh = deltaFor(news, Mine);
-  if (isEmpty(fresh))
+  merge(LinksByConnection.at(connection).KnownToPeer, receivedKnowledge);
+  const PeerKnowledge newKnowledge =
+      deltaFor(receivedKnowledge, LocalKnowledge);
+  if (isEmpty(newKnowledge))
     return;
-  merge(Mine, fresh);
-  Heard.noteNews(fresh.Hosts, at);
+  merge(LocalKnowledge, newKnowledge);
+  SeenHosts.recordNewReports(newKnowledge.Hosts, at);
   supersedeOlderIncarnation(at);
-  Hooks.OnKnowledge(fresh);
-  // These must be known everywhere soon; counts and reports go with the next
-  // rounds.
-  const bool isUrgent =
-      fresh.Bundle.Generation != 0 || !fresh.Leaving.empty() ||
-      !fresh.Rollout.Vetoes.empty() || !fresh.Rollout.Stages.empty();
+  Hooks.OnKnowledge(newKnowledge);
+  // These must reach all hosts quickly; counters and reports are sent with the
+  // next periodic update.
+  const bool isUrgent = newKnowledge.Bundle.Generation != 0 ||
+                        !newKnowledge.Leaving.empty() ||
+                        !newKnowledge.Rollout.Vetoes.empty() ||
+                        !newKnowledge.Rollout.Stages.empty();
   if (isUrgent)
     sendUpdateToAll(promptUpdate());
 }
@@ -226,46 +232,47 @@
 void MeshState::renewOwnReport(Instant at) {
   ReportedAt = at;
   ++OwnReport.Sequence;
-  Mine.Hosts[Settings.Self] = OwnReport;
+  LocalKnowledge.Hosts[Settings.Self] = OwnReport;
 }
 
 void MeshState::supersedeOlderIncarnation(Instant at) {
-  // Peers may hold a report of an earlier life whose clock was ahead of ours;
-  // they would take it for the newer one and send nobody here.
-  const HostReport &known = Mine.Hosts[Settings.Self];
+  // Peers may have a report of an earlier incarnation whose clock was ahead of
+  // this one's. They would treat it as the newer one and send no callers here.
+  const HostReport &known = LocalKnowledge.Hosts[Settings.Self];
   if (known.Incarnation == Settings.Incarnation)
     return;
   OwnReport.StartedAt = known.StartedAt + Duration(1);
   renewOwnReport(at);
 }
 
-void MeshState::publish(const PeerKnowledge &news, Instant at) {
+void MeshState::publish(const PeerKnowledge &ownKnowledge, Instant at) {
   detectPause(at);
-  // Each call counts as evidence; telling each one by itself would cost more
-  // than the calls.
-  const bool isOnlyEvidence =
-      news.Bundle.Generation == 0 && news.Leaving.empty() &&
-      news.Rollout.Vetoes.empty() && news.Rollout.Stages.empty();
-  if (merge(Mine, news) && !isOnlyEvidence)
+  // Each call adds evidence; sending it for each call would cost more than the
+  // calls themselves.
+  const bool isOnlyEvidence = ownKnowledge.Bundle.Generation == 0 &&
+                              ownKnowledge.Leaving.empty() &&
+                              ownKnowledge.Rollout.Vetoes.empty() &&
+                              ownKnowledge.Rollout.Stages.empty();
+  if (merge(LocalKnowledge, ownKnowledge) && !isOnlyEvidence)
     sendUpdateToAll(promptUpdate());
 }
 
 void MeshState::keepEvidence(const std::set<VersionId> &versions) {
-  Mine.Rollout.Evidence.keepOnly(versions);
-  for (auto &entry : All)
-    entry.second.Theirs.Rollout.Evidence.keepOnly(versions);
+  LocalKnowledge.Rollout.Evidence.keepOnly(versions);
+  for (auto &entry : LinksByConnection)
+    entry.second.KnownToPeer.Rollout.Evidence.keepOnly(versions);
 }
 
 PeerKnowledge MeshState::promptUpdate() const {
-  return promptPart(Mine, {Settings.Self, Settings.Incarnation});
+  return promptPart(LocalKnowledge, {Settings.Self, Settings.Incarnation});
 }
 
 void MeshState::sendUpdateIfDue(Instant at) {
-  if (at - FullUpdateSentAt >= pace().FullUpdateInterval) {
+  if (at - FullUpdateSentAt >= intervals().FullUpdateInterval) {
     FullUpdateSentAt = at;
     UpdateSentAt = at;
-    sendUpdateToAll(Mine);
-  } else if (at - UpdateSentAt >= pace().UpdateInterval) {
+    sendUpdateToAll(LocalKnowledge);
+  } else if (at - UpdateSentAt >= intervals().UpdateInterval) {
     UpdateSentAt = at;
     sendUpdateToAll(promptUpdate());
   }
@@ -281,27 +288,27 @@
 }
 
 void MeshState::sendUpdate(ConnectionId connection, const PeerKnowledge &part) {
-  PeerLink &link = All.at(connection);
-  const PeerKnowledge news = deltaFor(part, link.Theirs);
-  if (isEmpty(news))
+  PeerLink &link = LinksByConnection.at(connection);
+  const PeerKnowledge peerDelta = deltaFor(part, link.KnownToPeer);
+  if (isEmpty(peerDelta))
     return;
-  const std::string bytes = encodePeerMessage(PeerUpdate{news});
+  const std::string bytes = encodePeerMessage(PeerUpdate{peerDelta});
   ++Counts.UpdatesSent;
   Counts.UpdateBytesSent += bytes.size();
-  merge(link.Theirs, news);
+  merge(link.KnownToPeer, peerDelta);
   Transport.Send(connection, bytes);
 }
 
 void MeshState::sendUpdateToAll(const PeerKnowledge &part) {
-  for (const auto &[connection, link] : All)
+  for (const auto &[connection, link] : LinksByConnection)
     if (link.Stage == LinkStage::Live)
       sendUpdate(connection, part);
 }
 
 void MeshState::request(const HostId &host, std::string kind, std::string body,
                         Instant deadline, OnPeerResult onResult) {
-  if (Mine.Hosts.count(host) == 0) {
-    onResult({PeerRequestEnd::Unreachable, "no such host is known"});
+  if (LocalKnowledge.Hosts.count(host) == 0) {
+    onResult({PeerRequestEnd::Unreachable, "host is unknown"});
     return;
   }
   Requests.add(host, std::move(kind), std::move(body), deadline,
@@ -310,7 +317,7 @@
 }
 
 void MeshState::sendRequests() {
-  for (auto &[connection, link] : All) {
+  for (auto &[connection, link] : LinksByConnection) {
     if (link.Stage != LinkStage::Live)
       continue;
     for (const PeerRequest &it : Requests.takeUnsent(link.host(), connection)) {
@@ -321,8 +328,8 @@
 }
 
 void MeshState::respond(ConnectionId connection, const PeerReply &reply) {
-  const auto it = All.find(connection);
-  if (it != All.end() && it->second.Stage == LinkStage::Live)
+  const auto it = LinksByConnection.find(connection);
+  if (it != LinksByConnection.end() && it->second.Stage == LinkStage::Live)
     send(connection, reply);
 }
 
@@ -330,37 +337,38 @@
   detectPause(at);
   dropSilent(at);
   Requests.expire(at);
-  if (at - ReportedAt >= pace().ReportEvery)
+  if (at - ReportedAt >= intervals().HostReportInterval)
     renewOwnReport(at);
-  eraseExpiredLeaving(Mine, at);
-  Heard.eraseDeadHosts(Mine, Settings.Self, at);
+  eraseExpiredLeaving(LocalKnowledge, at);
+  SeenHosts.eraseSilentHosts(LocalKnowledge, Settings.Self, at);
   sendUpdateIfDue(at);
-  askAll(at);
+  sendHeartbeats(at);
   reselectPeers(at);
 }
 
 void MeshState::reselectPeers(Instant at) {
-  const bool isDue = at - ChosenAt >= Settings.ConnectRetryInterval;
-  if (!isDue && Requests.awaitedHosts().empty())
+  const bool isDue = at - PeersSelectedAt >= Settings.ConnectRetryInterval;
+  if (!isDue && Requests.hostsWithUnsentRequests().empty())
     return;
-  ChosenAt = at;
+  PeersSelectedAt = at;
   const std::set<std::string> wanted = wantedAddresses(at);
   connectTo(wanted, at);
   dropUnwanted(wanted, at);
 }
 
-const MeshIntervals &MeshState::pace() const {
-  return Mine.Hosts.size() > FullMeshLimit ? Settings.LargeMeshIntervals
-                                           : Settings.Pace;
+const MeshIntervals &MeshState::intervals() const {
+  return LocalKnowledge.Hosts.size() > FullMeshLimit
+             ? Settings.LargeMeshIntervals
+             : Settings.SmallMeshIntervals;
 }
 
 void MeshState::dropSilent(Instant at) {
   std::vector<ConnectionId> silent;
-  for (const auto &[connection, link] : All) {
+  for (const auto &[connection, link] : LinksByConnection) {
     const bool isLive = link.Stage == LinkStage::Live;
-    const bool isSilent = isLive
-                              ? at - link.LastSeenAt > pace().SilenceTimeout
-                              : at - link.OpenedAt > Settings.HandshakeTimeout;
+    const bool isSilent =
+        isLive ? at - link.LastSeenAt > intervals().SilenceTimeout
+               : at - link.OpenedAt > Settings.HandshakeTimeout;
     if (isSilent)
       silent.push_back(connection);
   }
@@ -369,21 +377,21 @@
     drop(it);
 }
 
-void MeshState::askAll(Instant at) {
-  for (auto &[connection, link] : All) {
+void MeshState::sendHeartbeats(Instant at) {
+  for (auto &[connection, link] : LinksByConnection) {
     if (link.Stage != LinkStage::Live ||
-        at - link.AskedAt < pace().HeartbeatInterval)
+        at - link.HeartbeatSentAt < intervals().HeartbeatInterval)
       continue;
-    link.AskedAt = at;
+    link.HeartbeatSentAt = at;
     send(connection, PeerHeartbeat{at});
   }
 }
 
 void MeshState::dropUnwanted(const std::set<std::string> &wanted, Instant at) {
-  // Choices change as hosts come and go; without this a large mesh would grow
-  // towards a full one.
+  // The selected peers change as hosts join and leave. Without this, a large
+  // mesh would gradually become a full mesh.
   std::vector<ConnectionId> unwanted;
-  for (const auto &[connection, link] : All)
+  for (const auto &[connection, link] : LinksByConnection)
     if (link.Role == PeerRole::Opener && link.Stage == LinkStage::Live &&
         wanted.count(addressOf(link)) == 0 &&
         at - link.UsedAt > Settings.UnselectedLinkIdleTimeout)
@@ -393,12 +401,13 @@
 }
 
 std::string MeshState::addressOf(const PeerLink &link) const {
-  const auto it = Mine.Hosts.find(link.host());
-  return it == Mine.Hosts.end() ? link.Address : it->second.PeerAddress;
+  const auto it = LocalKnowledge.Hosts.find(link.host());
+  return it == LocalKnowledge.Hosts.end() ? link.Address
+                                          : it->second.PeerAddress;
 }
 
 bool MeshState::isConnected(const std::string &address) const {
-  for (const auto &[connection, link] : All) {
+  for (const auto &[connection, link] : LinksByConnection) {
     if (link.Address == address ||
         (link.Stage == LinkStage::Live && addressOf(link) == address))
       return true;
@@ -409,18 +418,18 @@
 std::set<std::string> MeshState::wantedAddresses(Instant at) const {
   std::set<std::string> wanted(Settings.Seeds.begin(), Settings.Seeds.end());
   std::vector<PeerCandidate> candidates;
-  for (const auto &[host, report] : Mine.Hosts) {
-    // A seed whose host is known needs no connection for its own sake.
+  for (const auto &[host, report] : LocalKnowledge.Hosts) {
+    // A seed whose host is known is needed only if that host is selected.
     wanted.erase(report.PeerAddress);
-    if (host != Settings.Self && Heard.isWorthConnecting(host, at))
+    if (host != Settings.Self && SeenHosts.isWorthConnecting(host, at))
       candidates.push_back({host, report.Zone});
   }
-  std::set<HostId> hosts = Requests.awaitedHosts();
+  std::set<HostId> hosts = Requests.hostsWithUnsentRequests();
   for (const HostId &it : choosePeers(Settings.Self, candidates))
     hosts.insert(it);
   for (const HostId &it : hosts) {
-    const auto known = Mine.Hosts.find(it);
-    if (known != Mine.Hosts.end())
+    const auto known = LocalKnowledge.Hosts.find(it);
+    if (known != LocalKnowledge.Hosts.end())
       wanted.insert(known->second.PeerAddress);
   }
   for (const std::string &it : OwnAddresses)
@@ -429,12 +438,12 @@
 }
 
 void MeshState::connectTo(const std::set<std::string> &wanted, Instant at) {
-  for (auto it = TriedAt.begin(); it != TriedAt.end();)
-    it = wanted.count(it->first) == 0 ? TriedAt.erase(it) : std::next(it);
+  for (auto it = LastAttemptAt.begin(); it != LastAttemptAt.end();)
+    it = wanted.count(it->first) == 0 ? LastAttemptAt.erase(it) : std::next(it);
   for (const std::string &address : wanted) {
     if (address.empty() || isConnected(address))
       continue;
-    const auto [it, isFirst] = TriedAt.emplace(address, at);
+    const auto [it, isFirst] = LastAttemptAt.emplace(address, at);
     if (!isFirst && at - it->second < Settings.ConnectRetryInterval)
       continue;
     it->second = at;
@@ -443,18 +452,19 @@
 }
 
 std::vector<PeerView> MeshState::peers(Instant at) const {
-  const Duration livingFor = LivingReports * pace().ReportEvery;
+  const Duration seenWithin =
+      RecentReportIntervals * intervals().HostReportInterval;
   std::vector<PeerView> out;
-  for (const auto &[host, report] : Mine.Hosts)
+  for (const auto &[host, report] : LocalKnowledge.Hosts)
     if (host != Settings.Self)
       out.push_back({host, report.Zone, report.CallerAddress, report.IsLeaving,
-                     Heard.isLiving(host, at, livingFor)});
+                     SeenHosts.wasSeenRecently(host, at, seenWithin)});
   return out;
 }
 
 std::set<HostId> MeshState::linkedHosts() const {
   std::set<HostId> out;
-  for (const auto &[connection, link] : All)
+  for (const auto &[connection, link] : LinksByConnection)
     if (link.Stage == LinkStage::Live)
       out.insert(link.host());
   return out;
--- a/Libraries/LibPeer/MeshState.h
+++ b/Libraries/LibPeer/MeshState.h
@@ -12,95 +12,100 @@
 
 namespace sorrelbay {
 
-/// How often a daemon speaks to its peers.
+/// The intervals at which a daemon sends messages to its peers.
 struct MeshIntervals {
-  /// A question goes out on each connection that often.
+  /// The interval between two heartbeats on one connection.
   Duration HeartbeatInterval;
-  /// A connection without any message for so long is given up and replaced.
+  /// A connection on which no message has arrived for this long is closed and
+  /// replaced.
   Duration SilenceTimeout;
-  /// Between two rounds of what this host has to tell.
+  /// The interval between two updates with the host's own changes.
   Duration UpdateInterval;
-  /// Between two rounds of all that it knows, for hosts that were cut off from
-  /// those that told it.
+  /// The interval between two updates with all that the host knows, for hosts
+  /// that can't reach the source of a change.
   Duration FullUpdateInterval;
-  /// Between two reports of this host, unless it begins to leave.
-  Duration ReportEvery;
+  /// The interval between two reports of this host. A change of IsLeaving is
+  /// reported without waiting for it.
+  Duration HostReportInterval;
 };
 
-/// Who this daemon is to its peers, and how it reaches them.
+/// The identity of this daemon in the mesh and the ways to reach its peers.
 struct MeshSettings {
   HostId Self;
   ZoneId Zone;
   IncarnationId Incarnation;
-  /// "address:port" that peers connect to.
+  /// The "address:port" that peers connect to.
   std::string PeerAddress;
-  /// "address:port" that callers connect to.
+  /// The "address:port" that callers connect to.
   std::string CallerAddress;
-  /// Peers to begin with; the others are learnt from them.
+  /// Addresses of the first peers, which supply the addresses of the others.
   std::vector<std::string> Seeds;
-  /// The first one proves who this daemon is; any of them is accepted from
-  /// others, so that a secret can be replaced host by host.
+  /// This daemon authenticates with the first secret and accepts any of them
+  /// from peers, so that a secret can be replaced host by host.
   std::vector<std::string> Secrets;
-  /// Up to FullMeshLimit hosts.
-  MeshIntervals Pace{milliseconds(250), seconds(1), milliseconds(50),
-                     seconds(1), seconds(1)};
-  /// Beyond it, where all news pass all hosts and would add up.
+  /// Used in a mesh of at most FullMeshLimit hosts.
+  MeshIntervals SmallMeshIntervals{milliseconds(250), seconds(1),
+                                   milliseconds(50), seconds(1), seconds(1)};
+  /// Used in a larger mesh, in which hosts relay the updates of all others, so
+  /// that the traffic of a host grows with the size of the mesh.
   MeshIntervals LargeMeshIntervals{seconds(1), seconds(3), seconds(1),
                                    seconds(1), seconds(30)};
-  /// The handshake must be over by then.
+  /// A connection whose handshake takes longer than this is closed.
   Duration HandshakeTimeout = seconds(2);
-  /// Between two tries to connect to one address.
+  /// The interval between two attempts to connect to one address.
   Duration ConnectRetryInterval = milliseconds(500);
-  /// A connection that is not among the chosen ones is kept for so long after
-  /// the last request over it.
+  /// A connection to a host that is not a selected peer is closed this long
+  /// after it was established or carried the last request.
   Duration UnselectedLinkIdleTimeout = seconds(30);
 };
 
-/// What an owner sees of another entry host.
+/// Another entry host, as the owner of a mesh sees it.
 struct PeerView {
   HostId Host;
   ZoneId Zone;
   std::string CallerAddress;
   bool IsLeaving = false;
-  /// Heard of lately; callers may be sent there.
+  /// Recently seen, so that callers may be sent there.
   bool IsLiving = false;
 };
 
-/// One daemon's part in the mesh, without threads, sockets or a clock: events
-/// with a time go in, MeshTransport's actions come out. Not thread-safe; its
-/// owner calls it from one thread.
+/// The protocol state of one daemon in the mesh, without threads, sockets or a
+/// clock: events with their time are passed in, and it acts through
+/// MeshTransport. Not thread-safe: the owner must call it from one thread.
 class MeshState {
 public:
   MeshState(MeshSettings settings, MeshTransport transport, MeshHooks hooks,
             Instant at);
 
-  /// A peer connected to this host.
+  /// To be called when a peer has connected to this host.
   void accepted(ConnectionId connection, Instant at);
-  /// A connection that Connect began is open.
+  /// To be called when a connection that Connect started is open.
   void opened(ConnectionId connection, Instant at);
-  /// It ended, or could not be opened.
+  /// To be called when a connection was closed or could not be opened.
   void closed(ConnectionId connection, Instant at);
   void received(ConnectionId connection, const std::string &bytes, Instant at);
   /// To be called every few tens of milliseconds.
   void tick(Instant at);
 
-  /// Ends all connections; requests that wait fail.
+  /// Closes all connections. Pending requests fail.
   void stop();
 
-  /// Adds knowledge of this host's own; a bundle must be verified.
-  void publish(const PeerKnowledge &news, Instant at);
-  /// Drops the evidence for all other versions, so that it does not grow with
-  /// every move ever made.
+  /// Publishes knowledge that originates at this host. A bundle in it must have
+  /// been verified.
+  void publish(const PeerKnowledge &ownKnowledge, Instant at);
+  /// Removes the evidence for all other versions, so that it does not grow with
+  /// the number of past rollouts.
   void keepEvidence(const std::set<VersionId> &versions);
-  /// What the next report of this host says.
+  /// Sets the contents of the next report of this host.
   void report(bool isLeaving, std::map<UpstreamId, std::uint32_t> inFlight);
-  /// Sends a request; the result comes once, by the deadline.
+  /// Sends a request. Calls `onResult` exactly once, by the deadline.
   void request(const HostId &host, std::string kind, std::string body,
                Instant deadline, OnPeerResult onResult);
-  /// Answers a peer's request; dropped if its connection is gone.
+  /// Replies to a peer's request. The reply is dropped if the connection has
+  /// been closed.
   void respond(ConnectionId connection, const PeerReply &reply);
 
-  const PeerKnowledge &knowledge() const { return Mine; }
+  const PeerKnowledge &knowledge() const { return LocalKnowledge; }
   std::vector<PeerView> peers(Instant at) const;
   MeshCounts counts() const;
   /// The peers with a live connection.
@@ -113,14 +118,16 @@
   void dropAll();
   void addLink(ConnectionId connection, PeerRole role, std::string address,
                Instant at);
-  void greet(ConnectionId connection, Instant at);
+  void startHandshake(ConnectionId connection, Instant at);
   void handle(ConnectionId connection, const PeerMessage &message, Instant at);
   void handleLive(ConnectionId connection, const PeerMessage &message,
                   Instant at);
   void becomeLive(ConnectionId connection, Instant at);
   bool dropDuplicateLink(ConnectionId connection);
-  void takeNews(ConnectionId connection, PeerKnowledge news, Instant at);
-  void answerHeartbeat(ConnectionId connection, const PeerHeartbeat &heartbeat);
+  void mergeUpdate(ConnectionId connection, PeerKnowledge receivedKnowledge,
+                   Instant at);
+  void replyToHeartbeat(ConnectionId connection,
+                        const PeerHeartbeat &heartbeat);
   void renewOwnReport(Instant at);
   void supersedeOlderIncarnation(Instant at);
   void sendUpdate(ConnectionId connection, const PeerKnowledge &part);
@@ -131,8 +138,8 @@
   void send(ConnectionId connection, const PeerMessage &message);
   void drop(ConnectionId connection);
   void dropSilent(Instant at);
-  void askAll(Instant at);
-  const MeshIntervals &pace() const;
+  void sendHeartbeats(Instant at);
+  const MeshIntervals &intervals() const;
   void reselectPeers(Instant at);
   void connectTo(const std::set<std::string> &wanted, Instant at);
   std::set<std::string> wantedAddresses(Instant at) const;
@@ -143,19 +150,19 @@
   MeshSettings Settings;
   MeshTransport Transport;
   MeshHooks Hooks;
-  Links All;
-  PeerKnowledge Mine;
-  HostTable Heard;
+  Links LinksByConnection;
+  PeerKnowledge LocalKnowledge;
+  HostTable SeenHosts;
   PeerRequests Requests;
   HostReport OwnReport;
-  std::map<std::string, Instant> TriedAt;
-  /// Seeds whose hello came from this daemon itself.
+  std::map<std::string, Instant> LastAttemptAt;
+  /// Addresses of this daemon itself, including seeds that turned out to be.
   std::set<std::string> OwnAddresses;
   Instant LastEventAt;
   Instant ReportedAt{};
   Instant UpdateSentAt{};
   Instant FullUpdateSentAt{};
-  Instant ChosenAt{};
+  Instant PeersSelectedAt{};
   MeshCounts Counts;
 };
 
--- a/Libraries/LibPeer/PeerLink.cpp
+++ b/Libraries/LibPeer/PeerLink.cpp
@@ -7,19 +7,23 @@
     : Role(role), Address(std::move(address)), OpenedAt(at), LastSeenAt(at),
       Own(std::move(own)) {}
 
-PeerProof PeerLink::greet(const PeerHello &hello, const std::string &secret) {
+PeerProof PeerLink::acceptHello(const PeerHello &hello,
+                                const std::string &secret) {
   if (Other || Stage != LinkStage::Handshaking)
-    throw PeerHandshakeFailed("a peer sent its hello out of turn");
+    throw PeerHandshakeFailed(
+        "peer sent a second hello or one outside the handshake");
   if (hello.Host.empty() || hello.Nonce.size() != NonceBytes)
-    throw PeerHandshakeFailed("a peer's hello lacks its host or nonce");
+    throw PeerHandshakeFailed(
+        "peer's hello has no host or a nonce of the wrong length");
   Other = hello;
   return makeProof(secret, Role, Own, hello);
 }
 
-void PeerLink::prove(const PeerProof &proof,
-                     const std::vector<std::string> &secrets) {
+void PeerLink::verifyProof(const PeerProof &proof,
+                           const std::vector<std::string> &secrets) {
   if (!Other || Stage != LinkStage::Handshaking)
-    throw PeerHandshakeFailed("a peer sent its proof out of turn");
+    throw PeerHandshakeFailed(
+        "peer sent a proof without a hello or outside the handshake");
   const PeerRole otherRole =
       Role == PeerRole::Opener ? PeerRole::Accepter : PeerRole::Opener;
   for (const std::string &it : secrets)
@@ -27,7 +31,8 @@
       Stage = LinkStage::Live;
       return;
     }
-  throw PeerHandshakeFailed("a peer does not hold the secret");
+  throw PeerHandshakeFailed(
+      "peer's proof matches none of the configured secrets");
 }
 
 } // namespace sorrelbay
--- a/Libraries/LibPeer/PeerLink.h
+++ b/Libraries/LibPeer/PeerLink.h
@@ -8,45 +8,48 @@
 
 namespace sorrelbay {
 
-/// How far a connection has got.
+/// The stage of a connection.
 enum class LinkStage { Opening, Handshaking, Live };
 
-/// A peer's hello or proof is wrong: it does not hold the secret, or speaks out
-/// of turn.
+/// A peer failed to authenticate: its hello or proof is invalid, or it sent a
+/// message at the wrong stage of the handshake.
 class PeerHandshakeFailed : public PeerMessageRefused {
 public:
   using PeerMessageRefused::PeerMessageRefused;
 };
 
-/// One connection to a peer: its handshake, and what the peer is known to know.
+/// A connection to a peer: the state of its handshake, and the knowledge that
+/// the peer is known to have.
 class PeerLink {
 public:
   PeerLink(PeerRole role, std::string address, PeerHello own, Instant at);
 
   PeerRole Role;
-  /// Empty if the other side connected.
+  /// Empty if the peer opened the connection.
   std::string Address;
   LinkStage Stage = LinkStage::Opening;
   Instant OpenedAt;
   Instant LastSeenAt;
-  Instant AskedAt{};
-  /// When it became live or last carried a request of this host.
+  Instant HeartbeatSentAt{};
+  /// When the link became live or last carried a request of this host.
   Instant UsedAt{};
-  /// What the peer has sent, and what it was sent.
-  PeerKnowledge Theirs;
+  /// The knowledge that the peer has sent or that was sent to it.
+  PeerKnowledge KnownToPeer;
 
   const PeerHello &own() const { return Own; }
-  /// The other side's identity; proved once the link is live.
+  /// The identity of the peer; authenticated once the link is live.
   HostId host() const { return Other ? Other->Host : HostId(); }
   IncarnationId incarnation() const {
     return Other ? Other->Incarnation : IncarnationId();
   }
-  /// Takes the other side's hello and gives the proof to answer with. Throws
-  /// PeerHandshakeFailed.
-  PeerProof greet(const PeerHello &hello, const std::string &secret);
-  /// Takes the other side's proof; the link is live then. Throws
-  /// PeerHandshakeFailed.
-  void prove(const PeerProof &proof, const std::vector<std::string> &secrets);
+  /// Processes the peer's hello and returns the proof to send to it. Throws
+  /// PeerHandshakeFailed if the hello is invalid or unexpected.
+  PeerProof acceptHello(const PeerHello &hello, const std::string &secret);
+  /// Verifies the peer's proof, after which the link is live. Throws
+  /// PeerHandshakeFailed if the proof matches none of the secrets or is
+  /// unexpected.
+  void verifyProof(const PeerProof &proof,
+                   const std::vector<std::string> &secrets);
 
 private:
   PeerHello Own;
--- a/Libraries/LibPeer/PeerMesh.cpp
+++ b/Libraries/LibPeer/PeerMesh.cpp
@@ -5,32 +5,34 @@
 
 namespace sorrelbay {
 
-static constexpr Duration TickEvery = milliseconds(50);
-/// How long forward() waits past its timeout for the mesh's thread to say how
-/// the request ended.
+static constexpr Duration MeshTickInterval = milliseconds(50);
+/// How long forward() waits beyond its timeout for the mesh's thread to report
+/// the result of the request.
 static constexpr Duration ResultMargin = seconds(1);
 
 PeerMesh::PeerMesh(MeshSettings settings, MeshHooks hooks)
     : Settings(std::move(settings)),
       SteadyStart(std::chrono::steady_clock::now()), SystemStart(now()) {
   PeerSocketEvents events;
-  events.Accepted = [this](ConnectionId it) { State->accepted(it, at()); };
-  events.Opened = [this](ConnectionId it) { State->opened(it, at()); };
-  events.Closed = [this](ConnectionId it) { State->closed(it, at()); };
+  events.Accepted = [this](ConnectionId it) {
+    State->accepted(it, meshTime());
+  };
+  events.Opened = [this](ConnectionId it) { State->opened(it, meshTime()); };
+  events.Closed = [this](ConnectionId it) { State->closed(it, meshTime()); };
   events.Received = [this](ConnectionId it, const std::string &bytes) {
-    State->received(it, bytes, at());
+    State->received(it, bytes, meshTime());
   };
   Socket = std::make_unique<PeerSocket>(Settings.PeerAddress, events);
   Settings.PeerAddress = Socket->address();
   State = std::make_unique<MeshState>(Settings, makeTransport(),
-                                      wrapHooks(std::move(hooks)), at());
+                                      wrapHooks(std::move(hooks)), meshTime());
 }
 
 PeerMesh::~PeerMesh() { stop(); }
 
-Instant PeerMesh::at() const {
-  // Near the wall clock, as others read the times, but never set back: a step
-  // of the clock would look like a pause, or hide one.
+Instant PeerMesh::meshTime() const {
+  // Close to the wall clock, since peers compare these times, but monotonic: a
+  // step of the wall clock would look like a pause, or hide one.
   return SystemStart + duration_cast<Duration>(
                            std::chrono::steady_clock::now() - SteadyStart);
 }
@@ -49,7 +51,7 @@
 }
 
 MeshHooks PeerMesh::wrapHooks(MeshHooks hooks) {
-  // The owner may answer from any thread.
+  // The owner may respond from any thread.
   hooks.OnRequest = [this, inner = std::move(hooks.OnRequest)](
                         const HostId &host, const PeerRequest &request,
                         const PeerRespond &respond) {
@@ -61,9 +63,9 @@
 }
 
 void PeerMesh::start() {
-  Socket->repeat(TickEvery, [this] {
-    State->tick(at());
-    takeSnapshot();
+  Socket->runPeriodically(MeshTickInterval, [this] {
+    State->tick(meshTime());
+    updateSnapshot();
   });
   Worker = std::thread([this] { Socket->run(); });
 }
@@ -79,8 +81,8 @@
     Worker.join();
 }
 
-void PeerMesh::takeSnapshot() {
-  std::vector<PeerView> peers = State->peers(at());
+void PeerMesh::updateSnapshot() {
+  std::vector<PeerView> peers = State->peers(meshTime());
   const MeshCounts counts = State->counts();
   const std::lock_guard<std::mutex> lock(SnapshotMutex);
   Peers = std::move(peers);
@@ -97,8 +99,9 @@
   return Counts;
 }
 
-void PeerMesh::publish(const PeerKnowledge &news) {
-  Socket->post([this, news] { State->publish(news, at()); });
+void PeerMesh::publish(const PeerKnowledge &ownKnowledge) {
+  Socket->post(
+      [this, ownKnowledge] { State->publish(ownKnowledge, meshTime()); });
 }
 
 void PeerMesh::keepEvidence(const std::set<VersionId> &versions) {
@@ -116,18 +119,19 @@
                               const std::string &body, Duration timeout) {
   verifyInvariant(std::this_thread::get_id() != Worker.get_id(),
                   "hooks-do-not-wait-for-peers",
-                  "a hook of the mesh waits for the mesh");
+                  "forward() was called from a hook of the mesh");
   if (IsStopped)
-    throw PeerUnreachable("the peer link is stopped");
+    throw PeerUnreachable("peer mesh is stopped");
   auto promise = std::make_shared<std::promise<PeerRequestResult>>();
   std::future<PeerRequestResult> future = promise->get_future();
   Socket->post([this, host, kind, body, timeout, promise] {
     State->request(
-        host, kind, body, at() + timeout,
+        host, kind, body, meshTime() + timeout,
         [promise](const PeerRequestResult &it) { promise->set_value(it); });
   });
   if (future.wait_for(timeout + ResultMargin) != std::future_status::ready)
-    throw PeerOutcomeUnknown("the peer link did not say how it ended");
+    throw PeerOutcomeUnknown(
+        "peer mesh reported no result of the request in time");
   const PeerRequestResult result = future.get();
   switch (result.End) {
   case PeerRequestEnd::Done:
--- a/Libraries/LibPeer/PeerMessage.cpp
+++ b/Libraries/LibPeer/PeerMessage.cpp
@@ -9,7 +9,7 @@
 
 using nlohmann::json;
 
-/// The names of the message kinds, in the order of the variant.
+/// The names of the message kinds on the wire, in the order of the variant.
 constexpr const char *KindNames[] = {"hello", "proof",   "heartbeat", "alive",
                                      "news",  "request", "reply"};
 static_assert(std::size(KindNames) == std::variant_size_v<PeerMessage>);
@@ -108,13 +108,13 @@
 }
 json toJson(const PeerProof &proof) { return {{"code", binary(proof.Code)}}; }
 json toJson(const PeerHeartbeat &it) {
-  return {{"asked_at", timeToJson(it.AskedAt)}};
+  return {{"asked_at", timeToJson(it.HeartbeatSentAt)}};
 }
 json toJson(const PeerHeartbeatReply &it) {
-  return {{"asked_at", timeToJson(it.AskedAt)}};
+  return {{"asked_at", timeToJson(it.HeartbeatSentAt)}};
 }
-json toJson(const PeerUpdate &news) {
-  return {{"knowledge", toJson(news.Knowledge)}};
+json toJson(const PeerUpdate &peerUpdate) {
+  return {{"knowledge", toJson(peerUpdate.Knowledge)}};
 }
 json toJson(const PeerRequest &request) {
   return {{"number", request.Number},
@@ -127,7 +127,7 @@
           {"body", binary(reply.Body)}};
 }
 
-PeerMessage messageOf(const std::string &kind, const json &from) {
+PeerMessage messageFromJson(const std::string &kind, const json &from) {
   if (kind == "hello")
     return PeerHello{HostId(textAt(from, "host")),
                      IncarnationId(textAt(from, "incarnation")),
@@ -146,7 +146,7 @@
   if (kind == "reply")
     return PeerReply{from.at("number").get<std::uint64_t>(),
                      from.at("done").get<bool>(), bytesAt(from, "body")};
-  throw PeerMessageRefused("a peer's message is of no known kind");
+  throw PeerMessageRefused("peer message has an unknown kind");
 }
 
 } // namespace
@@ -162,10 +162,10 @@
 PeerMessage decodePeerMessage(const std::string &bytes) {
   try {
     const json value = json::from_cbor(bytes);
-    return messageOf(textAt(value, "kind"), value);
+    return messageFromJson(textAt(value, "kind"), value);
   } catch (const json::exception &error) {
-    throw PeerMessageRefused(
-        std::string("a peer's message can't be decoded: ") + error.what());
+    throw PeerMessageRefused(std::string("peer message can't be decoded: ") +
+                             error.what());
   }
 }
 
--- a/Libraries/LibPeer/PeerMessage.h
+++ b/Libraries/LibPeer/PeerMessage.h
@@ -7,47 +7,49 @@
 
 namespace sorrelbay {
 
-/// The first message in both directions: who speaks, and a nonce that the other
-/// side must answer with a proof.
+/// The first message in both directions: the identity of the sender, and a
+/// nonce that the proof of the receiver must cover.
 struct PeerHello {
   HostId Host;
   IncarnationId Incarnation;
   std::string Nonce;
 };
 
-/// The second message in both directions: the sender holds the secret.
+/// The second message in both directions: proves that the sender holds the
+/// secret.
 struct PeerProof {
   std::string Code;
 };
 
-/// Asks for a sign of life, with the time by the asker's clock.
+/// A request for a heartbeat reply, with the time by the sender's clock.
 struct PeerHeartbeat {
-  Instant AskedAt{};
+  Instant HeartbeatSentAt{};
 };
 
-/// Repeats the time of the question. Sent after all news on the connection, so
-/// that the asker knows all that the sender knew then.
+/// Returns the time of the heartbeat. Sent after all pending updates on the
+/// connection, so that its receiver then knows all that the replying host knew
+/// at that time.
 struct PeerHeartbeatReply {
-  Instant AskedAt{};
+  Instant HeartbeatSentAt{};
 };
 
-/// Part of the sender's knowledge.
+/// A part of the sender's knowledge.
 struct PeerUpdate {
   PeerKnowledge Knowledge;
 };
 
-/// A request that the sender waits for.
+/// A request to which the sender expects a reply.
 struct PeerRequest {
   std::uint64_t Number = 0;
-  /// Which of the receiver's services is meant, such as "ticket-call".
+  /// The service of the receiver that is requested, such as "ticket-call".
   std::string Kind;
   std::string Body;
 };
 
-/// The answer to the request of that number.
+/// The reply to the request with the same number.
 struct PeerReply {
   std::uint64_t Number = 0;
-  /// False if the receiver does not do such a thing; the body says why.
+  /// False if the receiver declines the request; the body then has the reason.
   bool IsDone = true;
   std::string Body;
 };
@@ -56,9 +58,9 @@
     std::variant<PeerHello, PeerProof, PeerHeartbeat, PeerHeartbeatReply,
                  PeerUpdate, PeerRequest, PeerReply>;
 
-/// The message as CBOR.
+/// Encodes the message as CBOR.
 std::string encodePeerMessage(const PeerMessage &message);
-/// The inverse. Throws PeerMessageRefused.
+/// Decodes a message. Throws PeerMessageRefused if it is malformed.
 PeerMessage decodePeerMessage(const std::string &bytes);
 
 } // namespace sorrelbay
--- a/Libraries/LibPeer/PeerRequests.h
+++ b/Libraries/LibPeer/PeerRequests.h
@@ -7,7 +7,7 @@
 
 namespace sorrelbay {
 
-/// How a request to a peer ended.
+/// The outcome of a request to a peer. See the exceptions in PeerFailures.h.
 enum class PeerRequestEnd { Done, Declined, Unreachable, Unknown };
 
 struct PeerRequestResult {
@@ -17,36 +17,36 @@
 
 using OnPeerResult = std::function<void(const PeerRequestResult &)>;
 
-/// The requests that wait for a peer. Each is sent once at most, since the peer
-/// may have done what it was asked although its reply was lost, and each gets
-/// one result.
+/// The pending requests to peers. Each is sent at most once, since the peer may
+/// have executed it even if the reply was lost, and each gets exactly one
+/// result.
 class PeerRequests {
 public:
-  /// Adds a request that is not sent yet, and gives its number.
+  /// Adds a request that is not sent yet and returns its number.
   std::uint64_t add(const HostId &host, std::string kind, std::string body,
                     Instant deadline, OnPeerResult onResult);
-  /// The requests for that host that are not sent yet; they count as sent over
-  /// the connection from now on.
+  /// Returns the unsent requests for the host and marks them as sent over the
+  /// connection.
   std::vector<PeerRequest> takeUnsent(const HostId &host,
                                       ConnectionId connection);
   void replied(ConnectionId connection, const PeerReply &reply);
   void connectionClosed(ConnectionId connection);
   void expire(Instant at);
-  /// The hosts that a request waits to be sent to.
-  std::set<HostId> awaitedHosts() const;
+  /// The hosts for which a request has not been sent yet.
+  std::set<HostId> hostsWithUnsentRequests() const;
 
 private:
-  struct Waiting {
+  struct PendingRequest {
     HostId Host;
     PeerRequest Request;
     Instant Deadline{};
     OnPeerResult OnResult;
-    /// 0 while it is not sent.
+    /// 0 until the request is sent.
     ConnectionId SentOver = 0;
   };
   void finish(std::uint64_t number, const PeerRequestResult &result);
 
-  std::map<std::uint64_t, Waiting> All;
+  std::map<std::uint64_t, PendingRequest> PendingRequests;
   std::uint64_t LastNumber = 0;
 };
 
--- a/Libraries/LibPeer/PeerSocket.cpp
+++ b/Libraries/LibPeer/PeerSocket.cpp
@@ -19,17 +19,18 @@
 using Client = websocketpp::client<websocketpp::config::asio_client>;
 using ErrorCode = websocketpp::lib::error_code;
 
-constexpr long HandshakeLimitMs = 2000;
-constexpr int SilenceLimitMs = 2000;
+constexpr long OpenHandshakeTimeoutMs = 2000;
+constexpr int TcpUserTimeoutMs = 2000;
 
 template <typename Endpoint>
-void prepare(Endpoint &endpoint, asio::io_context &context) {
+void configureEndpoint(Endpoint &endpoint, asio::io_context &context) {
   endpoint.clear_access_channels(websocketpp::log::alevel::all);
   endpoint.clear_error_channels(websocketpp::log::elevel::all);
   endpoint.init_asio(&context);
   endpoint.set_max_message_size(MaxHandshakeBytes);
-  endpoint.set_open_handshake_timeout(HandshakeLimitMs);
-  // Heartbeats are small and late ones look like silence.
+  endpoint.set_open_handshake_timeout(OpenHandshakeTimeoutMs);
+  // Heartbeats are small. Nagle's algorithm would delay them, and late ones
+  // look like a silent connection.
   endpoint.set_tcp_post_init_handler(
       [&endpoint](const websocketpp::connection_hdl &handle) {
         ErrorCode ec;
@@ -39,25 +40,28 @@
           return;
         auto &socket = connection->get_raw_socket();
         socket.set_option(asio::ip::tcp::no_delay(true), ignored);
-        // A connection can go silent for good; unacknowledged bytes end it.
-        const int limit = SilenceLimitMs;
+        // The path can fail without closing the connection. This closes it when
+        // bytes stay unacknowledged.
+        const int limit = TcpUserTimeoutMs;
         ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT,
                      &limit, sizeof(limit));
       });
 }
 
-/// Sends unless too much waits already; false if it does.
+/// Sends unless the backlog would exceed its limit. Returns false if it would.
 template <typename Connection>
 bool sendOn(const Connection &connection, const std::string &bytes) {
   if (connection->get_buffered_amount() + bytes.size() > MaxSendBacklogBytes)
     return false;
-  // A failure to send shows as the connection's end soon after.
+  // A failure to send is reported through the close handler.
   connection->send(bytes, websocketpp::frame::opcode::binary);
   return true;
 }
 
-/// Ends it without a closing handshake, which a silent peer would not answer.
-template <typename Connection> void breakOff(const Connection &connection) {
+/// Closes the connection without a closing handshake, to which a silent peer
+/// would not respond.
+template <typename Connection>
+void abortConnection(const Connection &connection) {
   boost::system::error_code ignored;
   connection->get_raw_socket().close(ignored);
 }
@@ -65,18 +69,18 @@
 } // namespace
 
 struct PeerSocket::Impl {
-  /// One connection; one of the two is set.
-  struct Line {
+  /// A connection; exactly one of the two is set.
+  struct SocketConnection {
     Server::connection_ptr Accepted;
-    Client::connection_ptr Begun;
+    Client::connection_ptr Initiated;
   };
 
   Impl(PeerSocketEvents events, asio::io_context *loop)
       : Events(std::move(events)),
-        Own(loop ? nullptr : std::make_unique<asio::io_context>()),
-        Context(loop ? *loop : *Own) {
-    prepare(Listener, Context);
-    prepare(Connector, Context);
+        OwnContext(loop ? nullptr : std::make_unique<asio::io_context>()),
+        Context(loop ? *loop : *OwnContext) {
+    configureEndpoint(Listener, Context);
+    configureEndpoint(Connector, Context);
     Listener.set_reuse_addr(true);
     Listener.set_open_handler(
         [this](const websocketpp::connection_hdl &handle) { accept(handle); });
@@ -84,19 +88,19 @@
 
   void listen(const std::string &address);
   void accept(const websocketpp::connection_hdl &handle);
-  void end(ConnectionId id);
+  void endConnection(ConnectionId id);
   template <typename Connection>
-  void hookUp(const Connection &connection, ConnectionId id);
-  void scheduleRepeat(Duration interval, const std::function<void()> &work);
+  void installHandlers(const Connection &connection, ConnectionId id);
+  void scheduleNextRun(Duration interval, const std::function<void()> &work);
 
   PeerSocketEvents Events;
-  /// Unless another's loop is used.
-  std::unique_ptr<asio::io_context> Own;
+  /// Null if the loop of the owner is used.
+  std::unique_ptr<asio::io_context> OwnContext;
   asio::io_context &Context;
   Server Listener;
   Client Connector;
   asio::steady_timer Timer{Context};
-  std::map<ConnectionId, Line> Lines;
+  std::map<ConnectionId, SocketConnection> OpenConnections;
   ConnectionId LastId = 0;
 };
 
@@ -109,45 +113,46 @@
         asio::ip::tcp::endpoint(host, static_cast<std::uint16_t>(port)));
     Listener.start_accept();
   } catch (const std::exception &error) {
-    throw PeerListenFailed(address +
-                           ": can't listen for peers: " + error.what());
+    throw PeerListenFailed(
+        address + ": can't listen for peer connections: " + error.what());
   }
 }
 
 template <typename Connection>
-void PeerSocket::Impl::hookUp(const Connection &connection, ConnectionId id) {
+void PeerSocket::Impl::installHandlers(const Connection &connection,
+                                       ConnectionId id) {
   connection->set_message_handler(
       [this, id](const websocketpp::connection_hdl &, const auto &message) {
-        if (Lines.count(id) != 0)
+        if (OpenConnections.count(id) != 0)
           Events.Received(id, message->get_payload());
       });
   connection->set_close_handler(
-      [this, id](const websocketpp::connection_hdl &) { end(id); });
+      [this, id](const websocketpp::connection_hdl &) { endConnection(id); });
   connection->set_fail_handler(
-      [this, id](const websocketpp::connection_hdl &) { end(id); });
+      [this, id](const websocketpp::connection_hdl &) { endConnection(id); });
 }
 
 void PeerSocket::Impl::accept(const websocketpp::connection_hdl &handle) {
   const Server::connection_ptr connection = Listener.get_con_from_hdl(handle);
   const ConnectionId id = ++LastId;
-  Lines[id].Accepted = connection;
-  hookUp(connection, id);
+  OpenConnections[id].Accepted = connection;
+  installHandlers(connection, id);
   Events.Accepted(id);
 }
 
-void PeerSocket::Impl::end(ConnectionId id) {
-  if (Lines.erase(id) != 0)
+void PeerSocket::Impl::endConnection(ConnectionId id) {
+  if (OpenConnections.erase(id) != 0)
     Events.Closed(id);
 }
 
-void PeerSocket::Impl::scheduleRepeat(Duration interval,
-                                      const std::function<void()> &work) {
+void PeerSocket::Impl::scheduleNextRun(Duration interval,
+                                       const std::function<void()> &work) {
   Timer.expires_after(interval);
   Timer.async_wait([this, interval, work](boost::system::error_code ec) {
     if (ec)
       return;
     work();
-    scheduleRepeat(interval, work);
+    scheduleNextRun(interval, work);
   });
 }
 
@@ -170,8 +175,9 @@
     try {
       All->Context.run();
     } catch (const std::exception &error) {
-      // One connection's fault must not end the link to all peers.
-      LogLine(Severity::Error, "peer socket fault").field("why", error.what());
+      // A fault of one connection must not disconnect all peers.
+      LogLine(Severity::Error, "unhandled exception on the peer socket thread")
+          .field("why", error.what());
     }
   }
 }
@@ -182,8 +188,9 @@
   asio::post(All->Context, std::move(work));
 }
 
-void PeerSocket::repeat(Duration interval, const std::function<void()> &work) {
-  All->scheduleRepeat(interval, work);
+void PeerSocket::runPeriodically(Duration interval,
+                                 const std::function<void()> &work) {
+  All->scheduleNextRun(interval, work);
 }
 
 ConnectionId PeerSocket::connect(const std::string &address) {
@@ -195,10 +202,10 @@
     post([this, id] { All->Events.Closed(id); });
     return id;
   }
-  All->Lines[id].Begun = connection;
-  All->hookUp(connection, id);
+  All->OpenConnections[id].Initiated = connection;
+  All->installHandlers(connection, id);
   connection->set_open_handler([this, id](const websocketpp::connection_hdl &) {
-    if (All->Lines.count(id) != 0)
+    if (All->OpenConnections.count(id) != 0)
       All->Events.Opened(id);
   });
   All->Connector.connect(connection);
@@ -206,14 +213,15 @@
 }
 
 void PeerSocket::send(ConnectionId connection, const std::string &bytes) {
-  const auto it = All->Lines.find(connection);
-  if (it == All->Lines.end())
+  const auto it = All->OpenConnections.find(connection);
+  if (it == All->OpenConnections.end())
     return;
   const bool isSent = it->second.Accepted ? sendOn(it->second.Accepted, bytes)
-                                          : sendOn(it->second.Begun, bytes);
+                                          : sendOn(it->second.Initiated, bytes);
   if (isSent)
     return;
-  LogLine(Severity::Warning, "peer takes its messages too slowly")
+  LogLine(Severity::Warning,
+          "closing a peer connection whose send backlog is full")
       .field("waiting_bytes_limit",
              static_cast<std::int64_t>(MaxSendBacklogBytes));
   close(connection);
@@ -221,25 +229,25 @@
 }
 
 void PeerSocket::close(ConnectionId connection) {
-  const auto it = All->Lines.find(connection);
-  if (it == All->Lines.end())
+  const auto it = All->OpenConnections.find(connection);
+  if (it == All->OpenConnections.end())
     return;
-  const Impl::Line line = it->second;
-  All->Lines.erase(it);
-  if (line.Accepted)
-    breakOff(line.Accepted);
+  const Impl::SocketConnection socketConnection = it->second;
+  All->OpenConnections.erase(it);
+  if (socketConnection.Accepted)
+    abortConnection(socketConnection.Accepted);
   else
-    breakOff(line.Begun);
+    abortConnection(socketConnection.Initiated);
 }
 
 void PeerSocket::trust(ConnectionId connection) {
-  const auto it = All->Lines.find(connection);
-  if (it == All->Lines.end())
+  const auto it = All->OpenConnections.find(connection);
+  if (it == All->OpenConnections.end())
     return;
   if (it->second.Accepted)
     it->second.Accepted->set_max_message_size(MaxPeerMessageBytes);
   else
-    it->second.Begun->set_max_message_size(MaxPeerMessageBytes);
+    it->second.Initiated->set_max_message_size(MaxPeerMessageBytes);
 }
 
 } // namespace sorrelbay
--- a/Libraries/LibPeer/PeerSocket.h
+++ b/Libraries/LibPeer/PeerSocket.h
@@ -11,13 +11,13 @@
 
 namespace sorrelbay {
 
-/// The peer port can't be opened.
+/// The peer port can't be opened for listening.
 class PeerListenFailed : public Error {
 public:
   using Error::Error;
 };
 
-/// What a PeerSocket reports, always on the thread that runs it.
+/// The events of a PeerSocket. They are reported on the thread that runs it.
 struct PeerSocketEvents {
   std::function<void(ConnectionId)> Accepted;
   std::function<void(ConnectionId)> Opened;
@@ -25,38 +25,42 @@
   std::function<void(ConnectionId, const std::string &)> Received;
 };
 
-/// The longest message before the other side has proved who it is, in bytes.
+/// The maximum size of a message from a peer that is not authenticated yet, in
+/// bytes. A longer one closes the connection.
 constexpr std::size_t MaxHandshakeBytes = 4096;
-/// The longest message of a proved peer.
+/// The maximum size of a message from an authenticated peer, in bytes. A longer
+/// one closes the connection.
 constexpr std::size_t MaxPeerMessageBytes = std::size_t{4} * 1024 * 1024;
-/// What may wait to be sent on one connection; a peer that takes its messages
-/// more slowly is cut off, or its backlog would eat the memory.
+/// The maximum number of unsent bytes on one connection. Beyond it the
+/// connection is closed, since the backlog of a slow peer could otherwise
+/// exhaust the memory.
 constexpr std::size_t MaxSendBacklogBytes = std::size_t{16} * 1024 * 1024;
 
-/// WebSocket connections to and from peers, all on one thread. What is not said
-/// to be callable from any thread belongs to that one.
+/// WebSocket connections to and from peers, all on one thread. Functions must
+/// be called on that thread unless their comment allows any thread.
 class PeerSocket {
 public:
-  /// Listens on "ip:port"; port 0 is chosen. With a loop it works there, on the
-  /// thread that runs the loop; without one it works in run(). Throws
-  /// PeerListenFailed.
+  /// Listens on "ip:port"; port 0 selects a free port. With a loop, the socket
+  /// runs on the thread of that loop; without one, it runs in run(). Throws
+  /// PeerListenFailed if it can't listen.
   PeerSocket(const std::string &listen, PeerSocketEvents events,
              boost::asio::io_context *loop = nullptr);
   ~PeerSocket();
   PeerSocket(const PeerSocket &) = delete;
   PeerSocket &operator=(const PeerSocket &) = delete;
 
-  /// Where peers connect, with the port that was chosen.
+  /// The address that peers connect to, with the port in use.
   std::string address() const;
 
-  /// Works until stop().
+  /// Handles events until stop() is called.
   void run();
-  /// From any thread.
+  /// May be called from any thread.
   void stop();
-  /// Runs the work on the socket's thread, soon. From any thread.
+  /// Enqueues the work to run on the socket's thread. May be called from any
+  /// thread.
   void post(std::function<void()> work);
-  /// Runs the work again and again.
-  void repeat(Duration interval, const std::function<void()> &work);
+  /// Runs the work at the given interval until the socket is stopped.
+  void runPeriodically(Duration interval, const std::function<void()> &work);
 
   ConnectionId connect(const std::string &address);
   void send(ConnectionId connection, const std::string &bytes);
--- a/Libraries/LibPeer/RolloutCodec.cpp
+++ b/Libraries/LibPeer/RolloutCodec.cpp
@@ -35,7 +35,7 @@
   veto.By = HostId(from.at("by").get<std::string>());
   const int reason = from.at("reason").get<int>();
   if (reason < 0 || reason > static_cast<int>(RollbackReason::Deadline))
-    throw RolloutKnowledgeMalformed("a veto has no known reason");
+    throw RolloutKnowledgeMalformed("veto has an unknown rollback reason");
   veto.Reason = static_cast<RollbackReason>(reason);
   veto.OnRoute = RouteId(from.at("route").get<std::string>());
   veto.Statistic = from.at("statistic").get<double>();
@@ -91,7 +91,7 @@
     return out;
   } catch (const json::exception &error) {
     throw RolloutKnowledgeMalformed(
-        std::string("a rollout's knowledge can't be decoded: ") + error.what());
+        std::string("rollout knowledge can't be decoded: ") + error.what());
   }
 }
 
@@ -103,7 +103,7 @@
 RolloutKnowledge decodeRolloutKnowledge(const std::string &text) {
   const json from = json::parse(text, nullptr, false);
   if (from.is_discarded())
-    throw RolloutKnowledgeMalformed("a rollout's knowledge is not JSON");
+    throw RolloutKnowledgeMalformed("rollout knowledge is not valid JSON");
   return rolloutFromJson(from);
 }
 
--- a/Libraries/LibPeer/RolloutCodec.h
+++ b/Libraries/LibPeer/RolloutCodec.h
@@ -6,15 +6,16 @@
 
 namespace sorrelbay {
 
-/// What came from another daemon is not a rollout's knowledge.
+/// The rollout knowledge received from another daemon is malformed.
 class RolloutKnowledgeMalformed : public Error {
 public:
   using Error::Error;
 };
 
-/// The knowledge as a JSON document, as daemons hand it to each other.
+/// Encodes the knowledge as a JSON document, as daemons exchange it.
 std::string encodeRolloutKnowledge(const RolloutKnowledge &knowledge);
-/// The inverse. Throws RolloutKnowledgeMalformed.
+/// Decodes such a document. Throws RolloutKnowledgeMalformed if it is not
+/// valid.
 RolloutKnowledge decodeRolloutKnowledge(const std::string &text);
 
 } // namespace sorrelbay
--- a/Libraries/LibPeer/RolloutJson.h
+++ b/Libraries/LibPeer/RolloutJson.h
@@ -5,10 +5,10 @@
 
 namespace sorrelbay {
 
-/// The knowledge as a JSON value, inside this library: as a document in the
-/// object API, or as a part of a peer's message in CBOR.
+/// Converts the knowledge to a JSON value, for use within this library: as a
+/// document in the object API, or as a part of a peer's CBOR message.
 nlohmann::json rolloutToJson(const RolloutKnowledge &knowledge);
-/// The inverse. Throws RolloutKnowledgeMalformed.
+/// Converts it back. Throws RolloutKnowledgeMalformed if it is not valid.
 RolloutKnowledge rolloutFromJson(const nlohmann::json &from);
 
 } // namespace sorrelbay
--- a/Tests/LibPeer/BundleSpread.cpp
+++ b/Tests/LibPeer/BundleSpread.cpp
@@ -8,9 +8,9 @@
 
 constexpr int HostCount = 6;
 constexpr Duration StepTime = milliseconds(100);
-constexpr Duration WatchEvery = milliseconds(200);
+constexpr Duration WatchInterval = milliseconds(200);
 /// Within how long a bundle must be in force everywhere once faults are over.
-constexpr Duration InForceWithin = seconds(4);
+constexpr Duration InForceDeadline = seconds(4);
 
 std::uint64_t generationOf(const std::string &bytes) {
   return decodeBundle(decodeSignedBundle(bytes).Payload).Generation;
@@ -33,11 +33,11 @@
   Net.run(seconds(2));
 }
 
-bool BundleSpread::chance(int outOfThousand) {
-  return static_cast<int>(Net.random()() % 1000) < outOfThousand;
+bool BundleSpread::chance(int perMille) {
+  return static_cast<int>(Net.random()() % 1000) < perMille;
 }
 
-std::string BundleSpread::someHost() {
+std::string BundleSpread::randomHost() {
   return "h" + std::to_string(Net.random()() % HostCount);
 }
 
@@ -46,29 +46,29 @@
   host = Host();
   host.Bundles = std::make_unique<ActiveBundle>(
       std::vector<PublicKey>{Operators.publicKey()});
-  host.Life = NextLife++;
+  host.ProcessNumber = NextProcessNumber++;
   host.IsUp = true;
   ++Counts.Starts;
   FakeNetwork::NodeOptions options;
   options.Seeds = {"h0:1", "h1:1"};
   options.Hooks.AcceptBundle = [this, name](const BundleMark &mark) {
-    return takeFromPeer(name, mark);
+    return acceptFromPeer(name, mark);
   };
   Net.start(name, "zone-" + name, std::move(options));
   watch(name);
 }
 
-void BundleSpread::pauseSome() {
-  const std::string name = someHost();
+void BundleSpread::pauseRandomHost() {
+  const std::string name = randomHost();
   Host &host = Hosts[name];
   if (!host.IsUp || host.IsPaused)
     return;
   ++Counts.Pauses;
   host.IsPaused = true;
   Net.pause(name);
-  const std::uint64_t life = host.Life;
-  Net.schedule(milliseconds(Net.random()() % 8000), [this, name, life] {
-    if (Hosts[name].Life == life)
+  const std::uint64_t processNumber = host.ProcessNumber;
+  Net.schedule(milliseconds(Net.random()() % 8000), [this, name, processNumber] {
+    if (Hosts[name].ProcessNumber == processNumber)
       resume(name);
   });
 }
@@ -78,12 +78,12 @@
   if (!host.IsPaused)
     return;
   host.IsPaused = false;
-  std::deque<std::function<void()>> waiting;
-  waiting.swap(host.Waiting);
+  std::deque<std::function<void()>> deferredEvents;
+  deferredEvents.swap(host.DeferredEvents);
   // What lay in the sockets comes first, in either order.
   if (chance(500))
     Net.resume(name);
-  for (const auto &it : waiting)
+  for (const auto &it : deferredEvents)
     it();
   Net.resume(name);
 }
@@ -92,30 +92,30 @@
 /// API held when it was asked, and may come much later to a paused daemon.
 void BundleSpread::watch(const std::string &name) {
   Host &host = Hosts[name];
-  const std::uint64_t life = host.Life;
+  const std::uint64_t processNumber = host.ProcessNumber;
   if (!host.IsUp)
     return;
   if (!host.IsPaused && !IsOutage && Object &&
       Object->Version != host.KnownVersion) {
     const StoredObject answer = *Object;
-    const auto take = [this, name, life, answer] {
-      if (Hosts[name].Life == life)
-        takeFromObject(name, answer);
+    const auto take = [this, name, processNumber, answer] {
+      if (Hosts[name].ProcessNumber == processNumber)
+        applyStoredBundle(name, answer);
     };
     Net.schedule(milliseconds(1 + Net.random()() % 300), [this, name, take] {
       if (Hosts[name].IsPaused)
-        Hosts[name].Waiting.push_back(take);
+        Hosts[name].DeferredEvents.push_back(take);
       else
         take();
     });
   }
-  Net.schedule(WatchEvery, [this, name, life] {
-    if (Hosts[name].Life == life)
+  Net.schedule(WatchInterval, [this, name, processNumber] {
+    if (Hosts[name].ProcessNumber == processNumber)
       watch(name);
   });
 }
 
-void BundleSpread::takeFromObject(const std::string &name,
+void BundleSpread::applyStoredBundle(const std::string &name,
                                   const StoredObject &object) {
   Host &host = Hosts[name];
   if (!host.IsUp)
@@ -124,12 +124,12 @@
   const BundleMark mark{generationOf(object.Body), object.Body};
   if (!offer(name, mark) || Variant == SpreadVariant::NoPeers)
     return;
-  PeerKnowledge news;
-  news.Bundle = mark;
-  Net.mesh(name).publish(news, Net.at());
+  PeerKnowledge peerKnowledge;
+  peerKnowledge.Bundle = mark;
+  Net.mesh(name).publish(peerKnowledge, Net.at());
 }
 
-bool BundleSpread::takeFromPeer(const std::string &name,
+bool BundleSpread::acceptFromPeer(const std::string &name,
                                 const BundleMark &mark) {
   try {
     Counts.AdoptionsFromPeers += offer(name, mark) ? 1 : 0;
@@ -142,24 +142,24 @@
 
 bool BundleSpread::offer(const std::string &name, const BundleMark &mark) {
   Host &host = Hosts[name];
-  const bool isCareless = Variant == SpreadVariant::LastSeenWins ||
+  const bool skipsChecks = Variant == SpreadVariant::LastSeenWins ||
                           Variant == SpreadVariant::Unverified;
   const bool isAdopted =
-      isCareless ? offerCarelessly(host, mark)
+      skipsChecks ? offerUnchecked(host, mark)
                  : host.Bundles->offer(mark) == BundleOffer::Adopted;
   if (isAdopted)
-    noteInForce(name, mark.Signed);
+    recordInForce(name, mark.Signed);
   return isAdopted;
 }
 
-bool BundleSpread::offerCarelessly(Host &host, const BundleMark &mark) {
+bool BundleSpread::offerUnchecked(Host &host, const BundleMark &mark) {
   if (Variant == SpreadVariant::Unverified)
     return generationOf(mark.Signed) > host.Generation;
   verifyBundle(decodeSignedBundle(mark.Signed), {Operators.publicKey()});
   return mark.Signed != host.Bytes;
 }
 
-void BundleSpread::noteInForce(const std::string &name,
+void BundleSpread::recordInForce(const std::string &name,
                                const std::string &bytes) {
   Host &host = Hosts[name];
   const std::uint64_t generation = generationOf(bytes);
@@ -177,18 +177,18 @@
   host.Bytes = bytes;
 }
 
-void BundleSpread::noteCommitted(const std::string &body) {
+void BundleSpread::recordCommitted(const std::string &body) {
   const std::uint64_t generation = generationOf(body);
   const auto [it, isNew] = ByGeneration.emplace(generation, body);
   if (!isNew && it->second != body)
     failInvariant("one-generation-one-bundle", "generation " +
                                                    std::to_string(generation) +
                                                    " was rolled twice");
-  if (generation < Highest)
+  if (generation < HighestGeneration)
     failInvariant("rolled-bundle-never-reverts",
                   "an older bundle was rolled over generation " +
-                      std::to_string(Highest));
-  Highest = generation;
+                      std::to_string(HighestGeneration));
+  HighestGeneration = generation;
   Committed.push_back(body);
 }
 
@@ -200,16 +200,16 @@
     ++Counts.LostReplies;
     throw WriteOutcomeUnknown("lost before it took effect");
   }
-  if (!IsRacing && HasFaults && chance(200)) {
-    IsRacing = true;
+  if (!IsConcurrentRoll && HasFaults && chance(200)) {
+    IsConcurrentRoll = true;
     roll();
-    IsRacing = false;
+    IsConcurrentRoll = false;
   }
   const std::uint64_t version = Object ? Object->Version : AbsentVersion;
   if (version != expected && Variant != SpreadVariant::UnconditionalRoll)
     throw VersionConflict("another version is stored");
   Object = StoredObject{body, version + 1};
-  noteCommitted(body);
+  recordCommitted(body);
   if (HasFaults && chance(150)) {
     ++Counts.LostReplies;
     // Sometimes the reply is lost because the outage begins just then.
@@ -261,7 +261,7 @@
     return;
   const std::uint64_t next = (Object ? generationOf(Object->Body) : 0) + 1;
   const SignedBundle bundle = signBundle(bundleOf(next, NextTeam++), Operators);
-  if (IsRacing) {
+  if (IsConcurrentRoll) {
     rollOnce(bundle);
     return;
   }
@@ -274,32 +274,32 @@
   if (Committed.empty())
     return;
   const std::string &old = Committed[Net.random()() % Committed.size()];
-  const std::string from = someHost();
+  const std::string from = randomHost();
   if (!Net.isUp(from))
     return;
   ++Counts.Replays;
-  PeerKnowledge news;
+  PeerKnowledge peerKnowledge;
   // A lying generation must not help an old bundle either.
-  news.Bundle = {chance(500) ? generationOf(old) : Highest + 5, old};
+  peerKnowledge.Bundle = {chance(500) ? generationOf(old) : HighestGeneration + 5, old};
   for (int n = 0; n < HostCount; ++n)
-    Net.inject(from, "h" + std::to_string(n), PeerUpdate{news});
+    Net.inject(from, "h" + std::to_string(n), PeerUpdate{peerKnowledge});
 }
 
 void BundleSpread::forge() {
-  const std::string from = someHost();
+  const std::string from = randomHost();
   if (!Net.isUp(from))
     return;
   ++Counts.Forgeries;
-  const std::uint64_t generation = Highest + 1 + Net.random()() % 5;
+  const std::uint64_t generation = HighestGeneration + 1 + Net.random()() % 5;
   SignedBundle forged = signBundle(bundleOf(generation, 0), Forger);
   if (chance(300))
     forged.SignedBy = Operators.publicKey().id();
   if (chance(300))
     forged.Signature.clear();
-  PeerKnowledge news;
-  news.Bundle = {generation, encodeSignedBundle(forged)};
+  PeerKnowledge peerKnowledge;
+  peerKnowledge.Bundle = {generation, encodeSignedBundle(forged)};
   for (int n = 0; n < HostCount; ++n)
-    Net.inject(from, "h" + std::to_string(n), PeerUpdate{news});
+    Net.inject(from, "h" + std::to_string(n), PeerUpdate{peerKnowledge});
 }
 
 void BundleSpread::step() {
@@ -310,25 +310,25 @@
     Counts.Outages += IsOutage ? 1 : 0;
   }
   if (chance(15)) {
-    const std::string name = someHost();
+    const std::string name = randomHost();
     Hosts[name] = Host();
     Net.kill(name);
   }
   if (chance(30)) {
-    const std::string name = someHost();
+    const std::string name = randomHost();
     if (!Hosts[name].IsUp)
       start(name);
   }
   if (chance(20))
-    pauseSome();
+    pauseRandomHost();
   if (chance(20)) {
     ++Counts.Cuts;
-    Net.cut(someHost(), someHost());
+    Net.cut(randomHost(), randomHost());
   }
   if (chance(20))
     Net.mend();
   if (chance(10))
-    Net.silence(someHost(), someHost());
+    Net.silence(randomHost(), randomHost());
   if (chance(30))
     replay();
   if (chance(20))
@@ -350,19 +350,19 @@
     resume(name);
   }
   IsOutage = false;
-  rollOnce(signBundle(bundleOf(Highest + 1, NextTeam++), Operators));
+  rollOnce(signBundle(bundleOf(HighestGeneration + 1, NextTeam++), Operators));
   if (isOutage) {
     // One daemon has seen the bundle when the object API goes down.
-    takeFromObject("h0", *Object);
+    applyStoredBundle("h0", *Object);
     IsOutage = true;
   }
-  Net.run(InForceWithin);
+  Net.run(InForceDeadline);
   for (const auto &[name, host] : Hosts)
-    if (host.Generation != Highest)
+    if (host.Generation != HighestGeneration)
       failInvariant("in-force-everywhere-within-seconds",
                     name + " still acts by generation " +
                         std::to_string(host.Generation) + " of " +
-                        std::to_string(Highest));
+                        std::to_string(HighestGeneration));
 }
 
 void BundleSpread::restartInOutageAndCheck() {
@@ -372,9 +372,9 @@
     Net.kill(name);
     start(name);
   }
-  Net.run(InForceWithin);
+  Net.run(InForceDeadline);
   for (const auto &[name, host] : Hosts)
-    if (host.Generation != Highest)
+    if (host.Generation != HighestGeneration)
       failInvariant("started-in-outage-gets-bundle",
                     name + " has no bundle from its peers");
 }
--- a/Tests/LibPeer/BundleSpread.h
+++ b/Tests/LibPeer/BundleSpread.h
@@ -68,22 +68,22 @@
     std::uint64_t Generation = 0;
     std::string Bytes;
     std::uint64_t KnownVersion = 0;
-    std::uint64_t Life = 0;
+    std::uint64_t ProcessNumber = 0;
     bool IsUp = false;
     bool IsPaused = false;
-    std::deque<std::function<void()>> Waiting;
+    std::deque<std::function<void()>> DeferredEvents;
   };
 
   void step();
   void start(const std::string &name);
-  void pauseSome();
+  void pauseRandomHost();
   void resume(const std::string &name);
   void watch(const std::string &name);
-  void takeFromObject(const std::string &name, const StoredObject &object);
-  bool takeFromPeer(const std::string &name, const BundleMark &mark);
+  void applyStoredBundle(const std::string &name, const StoredObject &object);
+  bool acceptFromPeer(const std::string &name, const BundleMark &mark);
   bool offer(const std::string &name, const BundleMark &mark);
-  bool offerCarelessly(Host &host, const BundleMark &mark);
-  void noteInForce(const std::string &name, const std::string &bytes);
+  bool offerUnchecked(Host &host, const BundleMark &mark);
+  void recordInForce(const std::string &name, const std::string &bytes);
   void roll();
   void rollOnce(const SignedBundle &bundle);
   void rollWithoutCondition(const SignedBundle &bundle);
@@ -91,9 +91,9 @@
   void forge();
   ObjectApi objectApi();
   std::uint64_t write(const std::string &body, std::uint64_t expected);
-  void noteCommitted(const std::string &body);
-  bool chance(int outOfThousand);
-  std::string someHost();
+  void recordCommitted(const std::string &body);
+  bool chance(int perMille);
+  std::string randomHost();
 
   SpreadVariant Variant;
   FakeNetwork Net;
@@ -102,13 +102,13 @@
   std::map<std::string, Host> Hosts;
   std::optional<StoredObject> Object;
   bool IsOutage = false;
-  bool IsRacing = false;
+  bool IsConcurrentRoll = false;
   bool HasFaults = true;
   std::vector<std::string> Committed;
   std::map<std::uint64_t, std::string> ByGeneration;
-  std::uint64_t Highest = 0;
+  std::uint64_t HighestGeneration = 0;
   std::uint64_t NextTeam = 0;
-  std::uint64_t NextLife = 1;
+  std::uint64_t NextProcessNumber = 1;
   SpreadCounts Counts;
 };
 
--- a/Tests/LibPeer/FakeNetwork.cpp
+++ b/Tests/LibPeer/FakeNetwork.cpp
@@ -2,7 +2,7 @@
 
 namespace sorrelbay {
 
-static constexpr Duration TickEvery = milliseconds(50);
+static constexpr Duration MeshTickInterval = milliseconds(50);
 
 static MeshHooks withDefaults(MeshHooks hooks) {
   if (!hooks.AcceptBundle)
@@ -25,11 +25,11 @@
     kill(name);
   Node &node = Nodes[name];
   node = Node();
-  node.Life = NextLife++;
+  node.ProcessNumber = NextProcessNumber++;
   MeshSettings settings;
   settings.Self = HostId(name);
   settings.Zone = ZoneId(zone);
-  settings.Incarnation = IncarnationId(std::to_string(node.Life));
+  settings.Incarnation = IncarnationId(std::to_string(node.ProcessNumber));
   settings.PeerAddress = name + ":1";
   settings.CallerAddress = name + ":2";
   settings.Seeds = std::move(options.Seeds);
@@ -45,7 +45,7 @@
   transport.Trust = [](ConnectionId) {};
   node.Mesh = std::make_unique<MeshState>(
       settings, transport, withDefaults(std::move(options.Hooks)), Now);
-  tick(name, node.Life);
+  tick(name, node.ProcessNumber);
 }
 
 void FakeNetwork::kill(const std::string &name) {
@@ -62,9 +62,9 @@
 void FakeNetwork::resume(const std::string &name) {
   Node &node = Nodes[name];
   node.IsPaused = false;
-  std::deque<std::function<void()>> waiting;
-  waiting.swap(node.Waiting);
-  for (const auto &it : waiting)
+  std::deque<std::function<void()>> deferredEvents;
+  deferredEvents.swap(node.DeferredEvents);
+  for (const auto &it : deferredEvents)
     it();
 }
 
@@ -101,29 +101,29 @@
 void FakeNetwork::deliver(const std::string &name,
                           std::function<void(MeshState &)> work,
                           Duration delay) {
-  const std::uint64_t life = Nodes[name].Life;
-  const auto arrive = [this, name, life, work = std::move(work)] {
+  const std::uint64_t processNumber = Nodes[name].ProcessNumber;
+  const auto arrive = [this, name, processNumber, work = std::move(work)] {
     Node &node = Nodes[name];
-    if (node.Life != life || node.Mesh == nullptr)
+    if (node.ProcessNumber != processNumber || node.Mesh == nullptr)
       return;
     if (node.IsPaused)
-      node.Waiting.push_back([&node, work] { work(*node.Mesh); });
+      node.DeferredEvents.push_back([&node, work] { work(*node.Mesh); });
     else
       work(*node.Mesh);
   };
   schedule(delay, arrive);
 }
 
-void FakeNetwork::tick(const std::string &name, std::uint64_t life) {
+void FakeNetwork::tick(const std::string &name, std::uint64_t processNumber) {
   Node &node = Nodes[name];
-  if (node.Life != life || node.Mesh == nullptr)
+  if (node.ProcessNumber != processNumber || node.Mesh == nullptr)
     return;
   if (!node.IsPaused)
     node.Mesh->tick(Now);
-  schedule(TickEvery, [this, name, life] { tick(name, life); });
+  schedule(MeshTickInterval, [this, name, processNumber] { tick(name, processNumber); });
 }
 
-Duration FakeNetwork::someDelay() {
+Duration FakeNetwork::randomDelay() {
   return microseconds(300 + Random() % 3000);
 }
 
@@ -141,7 +141,7 @@
     return id;
   if (!isUp(to)) {
     deliver(
-        from, [this, id](MeshState &it) { it.closed(id, Now); }, someDelay());
+        from, [this, id](MeshState &it) { it.closed(id, Now); }, randomDelay());
     return id;
   }
   deliver(
@@ -159,7 +159,7 @@
   if (!end.IsOpen || end.IsSilent || isCut(end.Node, other) || !isUp(other))
     return;
   end.LastDelivery =
-      std::max(end.LastDelivery, Now + milliseconds(1) + someDelay());
+      std::max(end.LastDelivery, Now + milliseconds(1) + randomDelay());
   deliver(
       other,
       [this, to, bytes](MeshState &it) {
@@ -179,7 +179,7 @@
   if (end.IsSilent || isCut(end.Node, other.Node) || !isUp(other.Node))
     return;
   end.LastDelivery =
-      std::max(end.LastDelivery, Now + milliseconds(1) + someDelay());
+      std::max(end.LastDelivery, Now + milliseconds(1) + randomDelay());
   deliver(
       other.Node,
       [this, to](MeshState &it) {
--- a/Tests/LibPeer/FakeNetwork.h
+++ b/Tests/LibPeer/FakeNetwork.h
@@ -61,9 +61,9 @@
   struct Node {
     std::unique_ptr<MeshState> Mesh;
     /// Tells events of an earlier life from those of this one.
-    std::uint64_t Life = 0;
+    std::uint64_t ProcessNumber = 0;
     bool IsPaused = false;
-    std::deque<std::function<void()>> Waiting;
+    std::deque<std::function<void()>> DeferredEvents;
   };
   /// One end of a connection: the other end's id differs in the lowest bit.
   struct End {
@@ -74,12 +74,12 @@
   };
   void deliver(const std::string &name, std::function<void(MeshState &)> work,
                Duration delay);
-  void tick(const std::string &name, std::uint64_t life);
+  void tick(const std::string &name, std::uint64_t processNumber);
   ConnectionId connect(const std::string &from, const std::string &address);
   void send(ConnectionId from, const std::string &bytes);
   void close(ConnectionId from);
   bool isCut(const std::string &a, const std::string &b) const;
-  Duration someDelay();
+  Duration randomDelay();
 
   std::mt19937_64 Random;
   Instant Now{hours(1)};
@@ -88,7 +88,7 @@
   std::map<ConnectionId, End> Ends;
   std::set<std::pair<std::string, std::string>> Cuts;
   ConnectionId NextPair = 1;
-  std::uint64_t NextLife = 1;
+  std::uint64_t NextProcessNumber = 1;
 };
 
 } // namespace sorrelbay
--- a/Tests/LibPeer/TestBundleSpread.cpp
+++ b/Tests/LibPeer/TestBundleSpread.cpp
@@ -14,11 +14,11 @@
 constexpr int FaultSteps = 300;
 
 struct ThrowingInvariants {
-  InvariantHandler Before =
+  InvariantHandler PreviousHandler =
       setInvariantHandler([](const std::string &name, const std::string &seen) {
         throw InvariantViolation(name + ": " + seen);
       });
-  ~ThrowingInvariants() { setInvariantHandler(Before); }
+  ~ThrowingInvariants() { setInvariantHandler(PreviousHandler); }
 };
 
 SpreadCounts runSpread(std::uint64_t seed, SpreadVariant variant) {
@@ -97,7 +97,7 @@
 
 // The same run with one mechanism left out: its checks must see the harm, and
 // as the invariant that the mechanism stands for.
-BOOST_DATA_TEST_CASE(checks_see_what_a_left_out_mechanism_does,
+BOOST_DATA_TEST_CASE(checks_detect_a_removed_mechanism,
                      boost::unit_test::data::make(VariantRows), row) {
   int broken = 0;
   for (std::uint64_t seed = 1; seed <= FixedSeeds; ++seed) {
--- a/Tests/LibPeer/TestMeshState.cpp
+++ b/Tests/LibPeer/TestMeshState.cpp
@@ -48,19 +48,19 @@
 };
 
 /// Speech out of turn on a connection that has not been proved.
-struct RudeRow {
+struct EarlyMessageRow {
   const char *Name;
   PeerMessage Message;
 };
 
-std::ostream &operator<<(std::ostream &out, const RudeRow &row) {
+std::ostream &operator<<(std::ostream &out, const EarlyMessageRow &row) {
   return out << row.Name;
 }
 
-const PeerHello Stranger{HostId("x"), IncarnationId("1"),
+const PeerHello UnprovedHello{HostId("x"), IncarnationId("1"),
                          std::string(NonceBytes, 'n')};
 
-const RudeRow RudeRows[] = {
+const EarlyMessageRow EarlyMessageRows[] = {
     {"news", PeerUpdate{bundleOf(9)}},
     {"request", PeerRequest{1, "ticket-call", "x"}},
     {"heartbeat", PeerHeartbeat{}},
@@ -104,7 +104,7 @@
 
 // Somebody who can reach the peer port connects without the secret, to read
 // what peers tell or to feed them bundles.
-BOOST_AUTO_TEST_CASE(wrong_secret_is_turned_away) {
+BOOST_AUTO_TEST_CASE(wrong_secret_is_rejected) {
   start("a");
   start("b", {"another secret of no mesh", {}, {}});
   Net.mesh("b").publish(bundleOf(9), Net.at());
@@ -114,8 +114,8 @@
   BOOST_CHECK_GE(Net.mesh("a").counts().HandshakeFailures, 1);
 }
 
-BOOST_DATA_TEST_CASE(unproved_speech_ends_the_connection,
-                     boost::unit_test::data::make(RudeRows), row) {
+BOOST_DATA_TEST_CASE(message_before_proof_ends_the_connection,
+                     boost::unit_test::data::make(EarlyMessageRows), row) {
   std::vector<ConnectionId> ended;
   std::vector<PeerMessage> sent;
   MeshTransport transport;
@@ -136,14 +136,14 @@
 
 // A stranger sends back to a daemon what it received from it. Without the role
 // in the proof the daemon's own proof would let the stranger in.
-BOOST_AUTO_TEST_CASE(own_proof_thrown_back_is_refused) {
+BOOST_AUTO_TEST_CASE(reflected_own_proof_is_refused) {
   const std::string secret = "a secret of the mesh";
   const PeerHello own{HostId("a"), IncarnationId("1"),
                       std::string(NonceBytes, 'a')};
   PeerLink link(PeerRole::Accepter, "", own, Instant());
   link.Stage = LinkStage::Handshaking;
-  const PeerProof proof = link.greet(own, secret);
-  BOOST_CHECK_THROW(link.prove(proof, {secret}), PeerHandshakeFailed);
+  const PeerProof proof = link.acceptHello(own, secret);
+  BOOST_CHECK_THROW(link.verifyProof(proof, {secret}), PeerHandshakeFailed);
 }
 
 // Something between two hosts loses track of an open connection: nothing
@@ -212,7 +212,7 @@
 
 // The peer dies with a forwarded call. The caller may be told "not run" only
 // if the call never left this host.
-BOOST_AUTO_TEST_CASE(request_to_a_dead_peer_tells_sent_from_unsent) {
+BOOST_AUTO_TEST_CASE(request_to_a_dead_peer_distinguishes_sent_from_unsent) {
   FakeNetwork::NodeOptions options;
   options.Hooks.OnRequest = [](const HostId &, const PeerRequest &,
                                const PeerRespond &) {};
@@ -253,7 +253,7 @@
 
 // A host is replaced by one whose clock is behind. Peers would take the old
 // life's last report for the newer one and never send anybody to the new host.
-BOOST_AUTO_TEST_CASE(later_life_with_an_older_clock_is_heard) {
+BOOST_AUTO_TEST_CASE(later_incarnation_with_an_older_clock_is_accepted) {
   startThree();
   PeerKnowledge old;
   HostReport report;
@@ -266,7 +266,7 @@
   BOOST_CHECK(hosts.at(HostId("b")).CallerAddress == "b:2");
 }
 
-BOOST_AUTO_TEST_CASE(dead_host_is_not_living_in_the_eyes_of_a_newcomer) {
+BOOST_AUTO_TEST_CASE(dead_host_is_not_recently_seen_by_a_new_host) {
   startThree();
   Net.kill("b");
   Net.run(seconds(7));
@@ -311,7 +311,7 @@
 }
 
 // Two daemons can't reach each other but both reach a third one.
-BOOST_AUTO_TEST_CASE(news_pass_through_a_third_daemon) {
+BOOST_AUTO_TEST_CASE(updates_are_relayed_by_a_third_daemon) {
   startThree();
   Net.cut("a", "b");
   Net.run(Settled);
@@ -331,7 +331,7 @@
   const auto decode = [](const std::string &it) { decodePeerMessage(it); };
   for (const char *it : {"", "{}", "\xa0", "\xff\xff"})
     BOOST_CHECK_THROW(decode(it), PeerMessageRefused);
-  Net.inject("a", "b", Stranger);
+  Net.inject("a", "b", UnprovedHello);
   Net.run(Settled);
   BOOST_CHECK_GE(Net.mesh("b").counts().HandshakeFailures, 1);
   BOOST_CHECK(isLinked("a", "b"));
--- a/Tests/LibPeer/TestPeerMesh.cpp
+++ b/Tests/LibPeer/TestPeerMesh.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr Duration Hang = seconds(20);
+constexpr Duration HangTimeout = seconds(20);
 
 /// Waits for what must come true; false only if it hangs.
-bool comesTrue(const std::function<bool()> &condition) {
-  const Instant end = now() + Hang;
+bool becomesTrue(const std::function<bool()> &condition) {
+  const Instant end = now() + HangTimeout;
   while (!condition() && now() < end)
     std::this_thread::sleep_for(milliseconds(5));
   return condition();
@@ -54,7 +54,7 @@
   PairFixture() {
     A.start();
     B.start();
-    BOOST_REQUIRE(comesTrue([this] {
+    BOOST_REQUIRE(becomesTrue([this] {
       return A.counts().LiveLinks == 1 && B.counts().LiveLinks == 1;
     }));
   }
@@ -66,10 +66,10 @@
 
 BOOST_AUTO_TEST_CASE(requests_go_both_ways_and_large_ones_too) {
   const std::string large(300'000, 'x');
-  BOOST_CHECK_EQUAL(A.forward(HostId("b"), "echo", "hi", Hang), "a:hi");
-  BOOST_CHECK(B.forward(HostId("a"), "echo", large, Hang) == "b:" + large);
-  BOOST_CHECK_THROW(A.forward(HostId("b"), "other", "", Hang), PeerDeclined);
-  BOOST_CHECK_THROW(A.forward(HostId("z"), "echo", "", Hang), PeerUnreachable);
+  BOOST_CHECK_EQUAL(A.forward(HostId("b"), "echo", "hi", HangTimeout), "a:hi");
+  BOOST_CHECK(B.forward(HostId("a"), "echo", large, HangTimeout) == "b:" + large);
+  BOOST_CHECK_THROW(A.forward(HostId("b"), "other", "", HangTimeout), PeerDeclined);
+  BOOST_CHECK_THROW(A.forward(HostId("z"), "echo", "", HangTimeout), PeerUnreachable);
   BOOST_CHECK_THROW(A.forward(HostId("b"), "silence", "", milliseconds(50)),
                     PeerOutcomeUnknown);
 }
@@ -82,7 +82,7 @@
     threads.emplace_back([this, n, &wrong] {
       for (int i = 0; i < 50; ++i) {
         const std::string body = std::to_string(n) + "-" + std::to_string(i);
-        if (A.forward(HostId("b"), "echo", body, Hang) != "a:" + body)
+        if (A.forward(HostId("b"), "echo", body, HangTimeout) != "a:" + body)
           ++wrong;
       }
     });
@@ -93,7 +93,7 @@
 
 // A browser, a port scan or a lost caller speaks to the peer port. The daemon
 // must turn it away and go on.
-BOOST_AUTO_TEST_CASE(other_protocols_are_turned_away) {
+BOOST_AUTO_TEST_CASE(other_protocols_are_rejected) {
   HttpCall call;
   call.Path = "/v1/addresses";
   try {
@@ -101,16 +101,16 @@
   } catch (const Error &) {
     // An ended connection is as good an answer.
   }
-  BOOST_CHECK_EQUAL(B.forward(HostId("a"), "echo", "x", Hang), "b:x");
+  BOOST_CHECK_EQUAL(B.forward(HostId("a"), "echo", "x", HangTimeout), "b:x");
 }
 
 // A daemon with another secret, or something that pretends to be one.
-BOOST_AUTO_TEST_CASE(wrong_secret_is_counted_and_kept_out) {
+BOOST_AUTO_TEST_CASE(wrong_secret_is_counted_and_rejected) {
   MeshSettings settings = settingsOf("c", {A.address()});
   settings.Secrets = {"no secret of these peers"};
   PeerMesh c(settings, quietHooks());
   c.start();
-  BOOST_CHECK(comesTrue([this] { return A.counts().HandshakeFailures > 0; }));
+  BOOST_CHECK(becomesTrue([this] { return A.counts().HandshakeFailures > 0; }));
   BOOST_CHECK_EQUAL(A.counts().LiveLinks, 1);
   BOOST_CHECK_EQUAL(c.counts().LiveLinks, 0);
 }
@@ -121,12 +121,12 @@
     std::this_thread::sleep_for(milliseconds(100));
     B.stop();
   });
-  BOOST_CHECK_THROW(A.forward(HostId("b"), "silence", "", Hang),
+  BOOST_CHECK_THROW(A.forward(HostId("b"), "silence", "", HangTimeout),
                     PeerOutcomeUnknown);
   stopper.join();
   BOOST_CHECK_THROW(A.forward(HostId("b"), "echo", "", milliseconds(100)),
                     PeerUnreachable);
-  BOOST_CHECK_THROW(B.forward(HostId("a"), "echo", "", Hang), PeerUnreachable);
+  BOOST_CHECK_THROW(B.forward(HostId("a"), "echo", "", HangTimeout), PeerUnreachable);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
