--- a/Tests/LibPeer/BundleSpread.cpp
+++ b/Tests/LibPeer/BundleSpread.cpp
@@ -9,7 +9,8 @@
 constexpr int HostCount = 6;
 constexpr Duration StepTime = milliseconds(100);
 constexpr Duration WatchInterval = milliseconds(200);
-/// Within how long a bundle must be in force everywhere once faults are over.
+/// The time within which a bundle must be in force on all daemons once there
+/// are no more faults.
 constexpr Duration InForceDeadline = seconds(4);
 
 std::uint64_t generationOf(const std::string &bytes) {
@@ -19,7 +20,7 @@
 Bundle bundleOf(std::uint64_t generation, std::uint64_t team) {
   Bundle bundle;
   bundle.Generation = generation;
-  // Makes two operators' bundles of one generation differ.
+  // Makes the bundles of two operators with the same generation differ.
   bundle.Teams = {{TeamId("team-" + std::to_string(team)), 1}};
   return bundle;
 }
@@ -67,10 +68,11 @@
   host.IsPaused = true;
   Net.pause(name);
   const std::uint64_t processNumber = host.ProcessNumber;
-  Net.schedule(milliseconds(Net.random()() % 8000), [this, name, processNumber] {
-    if (Hosts[name].ProcessNumber == processNumber)
-      resume(name);
-  });
+  Net.schedule(milliseconds(Net.random()() % 8000),
+               [this, name, processNumber] {
+                 if (Hosts[name].ProcessNumber == processNumber)
+                   resume(name);
+               });
 }
 
 void BundleSpread::resume(const std::string &name) {
@@ -80,7 +82,8 @@
   host.IsPaused = false;
   std::deque<std::function<void()>> deferredEvents;
   deferredEvents.swap(host.DeferredEvents);
-  // What lay in the sockets comes first, in either order.
+  // The messages in the sockets and the response of the object API may be
+  // processed in either order.
   if (chance(500))
     Net.resume(name);
   for (const auto &it : deferredEvents)
@@ -88,8 +91,8 @@
   Net.resume(name);
 }
 
-/// One round of the daemon's watch of the object. The answer is what the object
-/// API held when it was asked, and may come much later to a paused daemon.
+/// One poll of the object API by a daemon. The response is the object as of the
+/// request; a paused daemon may process it much later.
 void BundleSpread::watch(const std::string &name) {
   Host &host = Hosts[name];
   const std::uint64_t processNumber = host.ProcessNumber;
@@ -116,7 +119,7 @@
 }
 
 void BundleSpread::applyStoredBundle(const std::string &name,
-                                  const StoredObject &object) {
+                                     const StoredObject &object) {
   Host &host = Hosts[name];
   if (!host.IsUp)
     return;
@@ -130,7 +133,7 @@
 }
 
 bool BundleSpread::acceptFromPeer(const std::string &name,
-                                const BundleMark &mark) {
+                                  const BundleMark &mark) {
   try {
     Counts.AdoptionsFromPeers += offer(name, mark) ? 1 : 0;
     return true;
@@ -143,10 +146,10 @@
 bool BundleSpread::offer(const std::string &name, const BundleMark &mark) {
   Host &host = Hosts[name];
   const bool skipsChecks = Variant == SpreadVariant::LastSeenWins ||
-                          Variant == SpreadVariant::Unverified;
+                           Variant == SpreadVariant::Unverified;
   const bool isAdopted =
       skipsChecks ? offerUnchecked(host, mark)
-                 : host.Bundles->offer(mark) == BundleOffer::Adopted;
+                  : host.Bundles->offer(mark) == BundleOffer::Adopted;
   if (isAdopted)
     recordInForce(name, mark.Signed);
   return isAdopted;
@@ -160,19 +163,19 @@
 }
 
 void BundleSpread::recordInForce(const std::string &name,
-                               const std::string &bytes) {
+                                 const std::string &bytes) {
   Host &host = Hosts[name];
   const std::uint64_t generation = generationOf(bytes);
   ++Counts.Adoptions;
   if (generation < host.Generation)
-    failInvariant("bundle-never-reverts", name + " went from generation " +
+    failInvariant("bundle-never-reverts", name + " reverted from generation " +
                                               std::to_string(host.Generation) +
                                               " to " +
                                               std::to_string(generation));
   const auto it = ByGeneration.find(generation);
   if (it == ByGeneration.end() || it->second != bytes)
     failInvariant("only-rolled-bundles-in-force",
-                  name + " acts by a bundle that was never rolled");
+                  name + " has a bundle in force that was never rolled");
   host.Generation = generation;
   host.Bytes = bytes;
 }
@@ -186,7 +189,7 @@
                                                    " was rolled twice");
   if (generation < HighestGeneration)
     failInvariant("rolled-bundle-never-reverts",
-                  "an older bundle was rolled over generation " +
+                  "an older bundle overwrote generation " +
                       std::to_string(HighestGeneration));
   HighestGeneration = generation;
   Committed.push_back(body);
@@ -212,7 +215,7 @@
   recordCommitted(body);
   if (HasFaults && chance(150)) {
     ++Counts.LostReplies;
-    // Sometimes the reply is lost because the outage begins just then.
+    // Sometimes the reply is lost because an outage begins at that moment.
     IsOutage = chance(300);
     Counts.Outages += IsOutage ? 1 : 0;
     throw WriteOutcomeUnknown("lost after it took effect");
@@ -242,7 +245,8 @@
     rollBundle(objectApi(), bundle);
     ++Counts.Rolled;
     if (!isCommitted())
-      failInvariant("rolled-is-rolled", "a roll that was not taken succeeded");
+      failInvariant("successful-roll-is-stored",
+                    "a roll succeeded but its bundle was not stored");
   } catch (const RollOutdated &) {
     ++Counts.Outdated;
   } catch (const RollConflict &) {
@@ -251,8 +255,8 @@
     ++Counts.Unknown;
   } catch (const ObjectApiUnavailable &) {
     if (isCommitted())
-      failInvariant("not-rolled-is-not-rolled",
-                    "a roll that was taken was reported as failed");
+      failInvariant("failed-roll-is-not-stored",
+                    "a roll failed but its bundle was stored");
   }
 }
 
@@ -265,7 +269,7 @@
     rollOnce(bundle);
     return;
   }
-  // The operator takes a moment between reading and rolling.
+  // An operator has a delay between reading the generation and rolling.
   Net.schedule(milliseconds(Net.random()() % 500),
                [this, bundle] { rollOnce(bundle); });
 }
@@ -279,8 +283,9 @@
     return;
   ++Counts.Replays;
   PeerKnowledge peerKnowledge;
-  // A lying generation must not help an old bundle either.
-  peerKnowledge.Bundle = {chance(500) ? generationOf(old) : HighestGeneration + 5, old};
+  // An old bundle must be rejected even if the mark names a newer generation.
+  peerKnowledge.Bundle = {
+      chance(500) ? generationOf(old) : HighestGeneration + 5, old};
   for (int n = 0; n < HostCount; ++n)
     Net.inject(from, "h" + std::to_string(n), PeerUpdate{peerKnowledge});
 }
@@ -352,7 +357,7 @@
   IsOutage = false;
   rollOnce(signBundle(bundleOf(HighestGeneration + 1, NextTeam++), Operators));
   if (isOutage) {
-    // One daemon has seen the bundle when the object API goes down.
+    // One daemon has received the bundle before the object API fails.
     applyStoredBundle("h0", *Object);
     IsOutage = true;
   }
@@ -360,8 +365,8 @@
   for (const auto &[name, host] : Hosts)
     if (host.Generation != HighestGeneration)
       failInvariant("in-force-everywhere-within-seconds",
-                    name + " still acts by generation " +
-                        std::to_string(host.Generation) + " of " +
+                    name + " still uses generation " +
+                        std::to_string(host.Generation) + " instead of " +
                         std::to_string(HighestGeneration));
 }
 
@@ -376,7 +381,7 @@
   for (const auto &[name, host] : Hosts)
     if (host.Generation != HighestGeneration)
       failInvariant("started-in-outage-gets-bundle",
-                    name + " has no bundle from its peers");
+                    name + " did not get the bundle from its peers");
 }
 
 } // namespace sorrelbay
--- a/Tests/LibPeer/BundleSpread.h
+++ b/Tests/LibPeer/BundleSpread.h
@@ -11,20 +11,20 @@
 
 namespace sorrelbay {
 
-/// What a run leaves out, to show that its checks see the harm.
+/// The mechanism that a run leaves out, to show that the checks detect it.
 enum class SpreadVariant {
   Sound,
-  /// A daemon acts by whatever bundle it saw last.
+  /// A daemon adopts every bundle that it receives, even an older one.
   LastSeenWins,
-  /// A daemon takes bundles without looking at the signature.
+  /// A daemon adopts bundles without verifying the signature.
   Unverified,
-  /// An operator's tool writes without a condition.
+  /// The object API accepts writes without comparing the version.
   UnconditionalRoll,
-  /// Daemons do not tell each other their bundle.
+  /// Daemons do not send their bundle to peers.
   NoPeers,
 };
 
-/// What happened in a run, to show that it met what it was made for.
+/// Counts of events in a run, to show that it exercised all faults.
 struct SpreadCounts {
   std::uint64_t Rolled = 0;
   std::uint64_t Outdated = 0;
@@ -42,21 +42,22 @@
   std::uint64_t AdoptionsFromPeers = 0;
 };
 
-/// Entry hosts, two operators and an object API under random faults. After each
-/// event it checks that no daemon goes back to an older bundle, that only
-/// bundles which the object API took come into force, and that one generation
-/// is one bundle. Breaks are reported as broken invariants.
+/// Simulates entry hosts, two operators and an object API under random faults.
+/// Checks after each event that no daemon reverts to an older bundle, that only
+/// bundles stored by the object API come into force, and that no generation has
+/// two bundles. Violations are reported through failInvariant().
 class BundleSpread {
 public:
   BundleSpread(std::uint64_t seed, SpreadVariant variant);
 
-  /// Random faults for that many steps of a tenth of a second.
+  /// Injects random faults for the given number of steps of 100 ms each.
   void runFaults(int steps);
-  /// Ends all faults but an outage if one is wanted, and checks that within
-  /// seconds all daemons have the newest bundle.
+  /// Ends all faults and rolls a new bundle. If `isOutage`, the object API then
+  /// fails once one daemon has received it. Checks that all daemons have the
+  /// bundle within seconds.
   void healAndCheck(bool isOutage);
-  /// In an outage, starts all daemons but one anew, and checks that they get
-  /// the bundle from each other.
+  /// Restarts all daemons except one during an outage of the object API and
+  /// checks that they get the bundle from their peers.
   void restartInOutageAndCheck();
 
   const SpreadCounts &counts() const { return Counts; }
@@ -64,7 +65,8 @@
 private:
   struct Host {
     std::unique_ptr<ActiveBundle> Bundles;
-    /// What LastSeenWins and Unverified act by in its place.
+    /// The bundle in force. LastSeenWins and Unverified use it instead of
+    /// Bundles.
     std::uint64_t Generation = 0;
     std::string Bytes;
     std::uint64_t KnownVersion = 0;
--- a/Tests/LibPeer/FakeNetwork.cpp
+++ b/Tests/LibPeer/FakeNetwork.cpp
@@ -120,7 +120,8 @@
     return;
   if (!node.IsPaused)
     node.Mesh->tick(Now);
-  schedule(MeshTickInterval, [this, name, processNumber] { tick(name, processNumber); });
+  schedule(MeshTickInterval,
+           [this, name, processNumber] { tick(name, processNumber); });
 }
 
 Duration FakeNetwork::randomDelay() {
--- a/Tests/LibPeer/FakeNetwork.h
+++ b/Tests/LibPeer/FakeNetwork.h
@@ -12,36 +12,38 @@
 
 namespace sorrelbay {
 
-/// Meshes of several daemons in one thread and in simulated time, joined by
-/// connections that can be cut without a word, as well as daemons that are
-/// stopped for a while. Messages of one connection stay in order.
+/// Simulates the meshes of several daemons in one thread and in simulated time.
+/// Connections can be cut without either side being notified, and daemons can
+/// be paused. Messages of one connection are delivered in order.
 class FakeNetwork {
 public:
   explicit FakeNetwork(std::uint64_t seed) : Random(seed) {}
 
-  /// What a test may change of a daemon before it starts.
+  /// The options of a daemon.
   struct NodeOptions {
     std::string Secret = "a secret of the mesh";
     std::vector<std::string> Seeds;
     MeshHooks Hooks;
   };
 
-  /// Starts a daemon; the address is "name:1". One that ran under the name is
-  /// replaced, as a new incarnation.
+  /// Starts a daemon with the address "name:1". It replaces a running daemon of
+  /// the same name, as a new incarnation.
   void start(const std::string &name, const std::string &zone,
              NodeOptions options);
-  /// The daemon is gone; its connections close.
+  /// Ends the daemon, which closes its connections.
   void kill(const std::string &name);
-  /// It does nothing until it is resumed; what comes for it waits.
+  /// Pauses the daemon. Its events are deferred until it is resumed.
   void pause(const std::string &name);
   void resume(const std::string &name);
-  /// All messages between the two vanish, both ways, and new connections are
-  /// not answered.
+  /// Drops all messages between the two hosts, in both directions, and leaves
+  /// new connections without a response.
   void cut(const std::string &a, const std::string &b) { Cuts.insert({a, b}); }
   void mend() { Cuts.clear(); }
-  /// The open connections between the two go silent for good; new ones work.
+  /// Drops all further messages on the open connections between the two hosts.
+  /// New connections work.
   void silence(const std::string &a, const std::string &b);
-  /// Puts a message on every live connection from a to b.
+  /// Sends a message from one host to the other, on every open connection
+  /// between them.
   void inject(const std::string &from, const std::string &to,
               const PeerMessage &message);
 
@@ -52,7 +54,7 @@
   bool isUp(const std::string &name) const {
     return Nodes.count(name) != 0 && Nodes.at(name).Mesh != nullptr;
   }
-  /// All connections that were ever begun.
+  /// The number of connections started so far.
   std::uint64_t connectionCount() const { return NextPair - 1; }
   Instant at() const { return Now; }
   std::mt19937_64 &random() { return Random; }
@@ -60,12 +62,12 @@
 private:
   struct Node {
     std::unique_ptr<MeshState> Mesh;
-    /// Tells events of an earlier life from those of this one.
+    /// Distinguishes events of an earlier process from those of this one.
     std::uint64_t ProcessNumber = 0;
     bool IsPaused = false;
     std::deque<std::function<void()>> DeferredEvents;
   };
-  /// One end of a connection: the other end's id differs in the lowest bit.
+  /// One end of a connection. The ids of the two ends differ in the lowest bit.
   struct End {
     std::string Node;
     bool IsOpen = true;
--- a/Tests/LibPeer/TestBundleSpread.cpp
+++ b/Tests/LibPeer/TestBundleSpread.cpp
@@ -48,11 +48,11 @@
 
 struct VariantRow {
   SpreadVariant Variant;
-  const char *BrokenInvariant;
+  const char *ViolatedInvariant;
 };
 
 std::ostream &operator<<(std::ostream &out, const VariantRow &row) {
-  return out << row.BrokenInvariant;
+  return out << row.ViolatedInvariant;
 }
 
 const VariantRow VariantRows[] = {
@@ -66,11 +66,10 @@
 
 BOOST_FIXTURE_TEST_SUITE(BundleSpreadTests, ThrowingInvariants)
 
-// Everything that the platform, the network and operators may do comes at
-// random: outages, daemons that start during them, daemons that sleep and wake
-// with old answers, two operators at once, lost replies, old and forged bundles
-// from peers. A user would notice a daemon that goes back to an older bundle as
-// calls sent to a version that was already taken out.
+// A daemon reverts to an older bundle and sends calls to a version that has
+// been removed. Random causes: outages, starts during them, pauses that delay
+// responses, concurrent operators, lost replies, and old or forged bundles from
+// peers.
 BOOST_AUTO_TEST_CASE(randomised_spread_never_reverts) {
   SpreadCounts sum;
   for (std::uint64_t seed = 1; seed <= soakSeeds(FixedSeeds); ++seed) {
@@ -87,7 +86,7 @@
                << ", forgeries " << sum.Forgeries << ", refused " << sum.Refused
                << ", adoptions " << sum.Adoptions << ", of them from peers "
                << sum.AdoptionsFromPeers);
-  // A run that met none of its faults would prove nothing.
+  // A run in which a kind of fault never occurs proves nothing about it.
   for (const std::uint64_t it :
        {sum.Rolled, sum.Outdated, sum.Conflicts, sum.LostReplies, sum.Unknown,
         sum.Outages, sum.Starts, sum.Pauses, sum.Cuts, sum.Replays,
@@ -95,21 +94,22 @@
     BOOST_CHECK_GT(it, 0);
 }
 
-// The same run with one mechanism left out: its checks must see the harm, and
-// as the invariant that the mechanism stands for.
+// The same run with one mechanism left out. Its checks must fail with the
+// invariant that this mechanism ensures.
 BOOST_DATA_TEST_CASE(checks_detect_a_removed_mechanism,
                      boost::unit_test::data::make(VariantRows), row) {
-  int broken = 0;
+  int violatedRuns = 0;
   for (std::uint64_t seed = 1; seed <= FixedSeeds; ++seed) {
     try {
       runSpread(seed, row.Variant);
     } catch (const InvariantViolation &error) {
       const std::string seen = error.what();
-      broken += seen.rfind(row.BrokenInvariant, 0) == 0 ? 1 : 0;
+      violatedRuns += seen.rfind(row.ViolatedInvariant, 0) == 0 ? 1 : 0;
     }
   }
-  BOOST_TEST_MESSAGE(row << " broken in " << broken << " of " << FixedSeeds);
-  BOOST_CHECK_GT(broken, 0);
+  BOOST_TEST_MESSAGE(row << " violated in " << violatedRuns << " of "
+                         << FixedSeeds);
+  BOOST_CHECK_GT(violatedRuns, 0);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Tests/LibPeer/TestMeshState.cpp
+++ b/Tests/LibPeer/TestMeshState.cpp
@@ -16,7 +16,7 @@
   return knowledge;
 }
 
-/// Daemons "a", "b", "c", ... that all know the first one's address.
+/// Daemons named "a", "b", "c" and so on, all of which have "a" as their seed.
 struct MeshFixture {
   FakeNetwork Net{7};
 
@@ -36,7 +36,7 @@
   bool isLinked(const std::string &a, const std::string &b) {
     return Net.mesh(a).linkedHosts().count(HostId(b)) != 0;
   }
-  /// Sends a request and gives the place where its result will be.
+  /// Sends a request. The returned object receives its result.
   std::shared_ptr<std::optional<PeerRequestResult>>
   request(const std::string &from, const std::string &to, Duration waitLimit) {
     auto result = std::make_shared<std::optional<PeerRequestResult>>();
@@ -47,7 +47,7 @@
   }
 };
 
-/// Speech out of turn on a connection that has not been proved.
+/// A message that violates the handshake.
 struct EarlyMessageRow {
   const char *Name;
   PeerMessage Message;
@@ -58,7 +58,7 @@
 }
 
 const PeerHello UnprovedHello{HostId("x"), IncarnationId("1"),
-                         std::string(NonceBytes, 'n')};
+                              std::string(NonceBytes, 'n')};
 
 const EarlyMessageRow EarlyMessageRows[] = {
     {"news", PeerUpdate{bundleOf(9)}},
@@ -83,9 +83,9 @@
   BOOST_CHECK_EQUAL(generation("c"), 4);
 }
 
-// Two daemons are each other's seed and connect at the same moment. If each
-// kept another one of the two connections and closed the rest, both would be
-// gone, again and again.
+// Two daemons are each other's seed and connect at the same time. If each kept
+// a different connection and closed the other one, both connections would
+// close, again at each attempt.
 BOOST_AUTO_TEST_CASE(crossed_connections_leave_one) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     FakeNetwork net(seed);
@@ -93,7 +93,7 @@
     net.start("a", "z", {"a secret of the mesh", {"b:1"}, {}});
     net.start("b", "z", {"a secret of the mesh", {"a:1"}, {}});
     net.run(seconds(1));
-    // Both tries hang, so both are made anew at one moment.
+    // Both attempts time out, so both are repeated at the same time.
     net.mend();
     net.run(Settled);
     BOOST_CHECK_EQUAL(net.mesh("a").linkedHosts().size(), 1);
@@ -102,8 +102,8 @@
   }
 }
 
-// Somebody who can reach the peer port connects without the secret, to read
-// what peers tell or to feed them bundles.
+// An attacker who can reach the peer port connects without the secret, to read
+// updates or to inject bundles.
 BOOST_AUTO_TEST_CASE(wrong_secret_is_rejected) {
   start("a");
   start("b", {"another secret of no mesh", {}, {}});
@@ -134,8 +134,8 @@
   BOOST_CHECK_EQUAL(mesh.counts().HandshakeFailures, 1);
 }
 
-// A stranger sends back to a daemon what it received from it. Without the role
-// in the proof the daemon's own proof would let the stranger in.
+// An attacker reflects a daemon's own messages. Without the role in the proof,
+// the daemon would accept its own proof as that of the attacker.
 BOOST_AUTO_TEST_CASE(reflected_own_proof_is_refused) {
   const std::string secret = "a secret of the mesh";
   const PeerHello own{HostId("a"), IncarnationId("1"),
@@ -146,9 +146,9 @@
   BOOST_CHECK_THROW(link.verifyProof(proof, {secret}), PeerHandshakeFailed);
 }
 
-// Something between two hosts loses track of an open connection: nothing
-// comes through any more, but neither side is told. Bundles would stop there
-// until TCP gives up, many minutes later.
+// A middlebox drops the state of an open connection: no message gets through,
+// but neither side is notified. Bundles would not get through until TCP times
+// out, many minutes later.
 BOOST_AUTO_TEST_CASE(silent_connection_is_replaced) {
   start("a");
   start("b");
@@ -163,8 +163,8 @@
   BOOST_CHECK((*result)->End == PeerRequestEnd::Unknown);
 }
 
-// A daemon is stopped and goes on later. Its sockets hold answers from before
-// the stop; taken for fresh ones they would tell it that its view holds now.
+// A daemon is paused and resumed. Its sockets hold heartbeat replies from
+// before the pause, which must not make its stale knowledge count as fresh.
 BOOST_AUTO_TEST_CASE(messages_from_before_a_pause_are_not_fresh) {
   Instant resumedAt{};
   int freshCount = 0;
@@ -175,8 +175,8 @@
   };
   start("a");
   start("b", std::move(options));
-  // Stopped at each step between two questions, so that some stops fall between
-  // a question and its answer.
+  // Pauses at various times between two heartbeats, so that some pauses begin
+  // between a heartbeat and its reply.
   for (int n = 0; n < 10; ++n) {
     Net.run(Settled + n * milliseconds(50));
     Net.pause("b");
@@ -210,8 +210,8 @@
   BOOST_CHECK((*unknownHost)->End == PeerRequestEnd::Unreachable);
 }
 
-// The peer dies with a forwarded call. The caller may be told "not run" only
-// if the call never left this host.
+// The peer fails while it has a forwarded call. The caller may get the result
+// "not run" only if the call was never sent.
 BOOST_AUTO_TEST_CASE(request_to_a_dead_peer_distinguishes_sent_from_unsent) {
   FakeNetwork::NodeOptions options;
   options.Hooks.OnRequest = [](const HostId &, const PeerRequest &,
@@ -230,8 +230,8 @@
   BOOST_CHECK((*unsent)->End == PeerRequestEnd::Unreachable);
 }
 
-// A peer that was cut off for long, or a hostile one, sends an old bundle, or
-// one that nobody signed.
+// A peer that was disconnected for a long time sends an old bundle, or a
+// malicious peer sends an unsigned one.
 BOOST_AUTO_TEST_CASE(old_and_forged_bundles_change_nothing) {
   FakeNetwork::NodeOptions options;
   options.Hooks.AcceptBundle = [](const BundleMark &mark) {
@@ -251,8 +251,9 @@
   BOOST_CHECK(isLinked("b", "a"));
 }
 
-// A host is replaced by one whose clock is behind. Peers would take the old
-// life's last report for the newer one and never send anybody to the new host.
+// A host is replaced by one whose clock is behind. Peers would treat the last
+// report of the earlier incarnation as newer and send no callers to the new
+// host.
 BOOST_AUTO_TEST_CASE(later_incarnation_with_an_older_clock_is_accepted) {
   startThree();
   PeerKnowledge old;
@@ -277,7 +278,8 @@
 }
 
 // A version turns out bad while the object API is down. Each daemon sees only
-// its own calls; without the others' word it would go on sending calls there.
+// its own calls; without its peers' evidence and veto it would keep sending
+// calls to that version.
 BOOST_AUTO_TEST_CASE(veto_and_evidence_spread_between_daemons) {
   startThree();
   const EvidenceKey key{VersionId("v2"), RouteId("quote")};
@@ -310,7 +312,7 @@
                 Net.mesh("b").knowledge().Rollout);
 }
 
-// Two daemons can't reach each other but both reach a third one.
+// Two daemons can't reach each other, but both can reach a third one.
 BOOST_AUTO_TEST_CASE(updates_are_relayed_by_a_third_daemon) {
   startThree();
   Net.cut("a", "b");
@@ -362,8 +364,9 @@
     BOOST_CHECK_EQUAL(generation(name), 3);
     most = std::max(most, Net.mesh(name).linkedHosts().size());
   }
-  BOOST_TEST_MESSAGE("most links of one daemon: "
-                     << most << ", bytes of news a second: " << bytesPerSecond);
+  BOOST_TEST_MESSAGE("maximum links of one daemon: "
+                     << most
+                     << ", update bytes per second: " << bytesPerSecond);
   BOOST_CHECK_LE(most, 26);
 }
 
--- a/Tests/LibPeer/TestPeerMesh.cpp
+++ b/Tests/LibPeer/TestPeerMesh.cpp
@@ -10,7 +10,7 @@
 
 constexpr Duration HangTimeout = seconds(20);
 
-/// Waits for what must come true; false only if it hangs.
+/// Waits until the condition holds. Returns false on a timeout.
 bool becomesTrue(const std::function<bool()> &condition) {
   const Instant end = now() + HangTimeout;
   while (!condition() && now() < end)
@@ -46,7 +46,7 @@
   return hooks;
 }
 
-/// Two daemons' links over real sockets.
+/// Two meshes connected over real sockets.
 struct PairFixture {
   PeerMesh A{settingsOf("a", {}), quietHooks()};
   PeerMesh B{settingsOf("b", {A.address()}), quietHooks()};
@@ -67,9 +67,12 @@
 BOOST_AUTO_TEST_CASE(requests_go_both_ways_and_large_ones_too) {
   const std::string large(300'000, 'x');
   BOOST_CHECK_EQUAL(A.forward(HostId("b"), "echo", "hi", HangTimeout), "a:hi");
-  BOOST_CHECK(B.forward(HostId("a"), "echo", large, HangTimeout) == "b:" + large);
-  BOOST_CHECK_THROW(A.forward(HostId("b"), "other", "", HangTimeout), PeerDeclined);
-  BOOST_CHECK_THROW(A.forward(HostId("z"), "echo", "", HangTimeout), PeerUnreachable);
+  BOOST_CHECK(B.forward(HostId("a"), "echo", large, HangTimeout) ==
+              "b:" + large);
+  BOOST_CHECK_THROW(A.forward(HostId("b"), "other", "", HangTimeout),
+                    PeerDeclined);
+  BOOST_CHECK_THROW(A.forward(HostId("z"), "echo", "", HangTimeout),
+                    PeerUnreachable);
   BOOST_CHECK_THROW(A.forward(HostId("b"), "silence", "", milliseconds(50)),
                     PeerOutcomeUnknown);
 }
@@ -91,20 +94,21 @@
   BOOST_CHECK_EQUAL(wrong, 0);
 }
 
-// A browser, a port scan or a lost caller speaks to the peer port. The daemon
-// must turn it away and go on.
+// A browser, a port scanner or a misdirected caller connects to the peer port.
+// The daemon must reject it and keep serving its peers.
 BOOST_AUTO_TEST_CASE(other_protocols_are_rejected) {
   HttpCall call;
   call.Path = "/v1/addresses";
   try {
     BOOST_CHECK_GE(sendOnce(A.address(), call).Status, 400);
   } catch (const Error &) {
-    // An ended connection is as good an answer.
+    // Closing the connection is also a rejection.
   }
   BOOST_CHECK_EQUAL(B.forward(HostId("a"), "echo", "x", HangTimeout), "b:x");
 }
 
-// A daemon with another secret, or something that pretends to be one.
+// A daemon with another secret, or an attacker that poses as a daemon,
+// connects.
 BOOST_AUTO_TEST_CASE(wrong_secret_is_counted_and_rejected) {
   MeshSettings settings = settingsOf("c", {A.address()});
   settings.Secrets = {"no secret of these peers"};
@@ -115,7 +119,7 @@
   BOOST_CHECK_EQUAL(c.counts().LiveLinks, 0);
 }
 
-// The peer's process dies while a request waits for its reply.
+// The peer's process ends while a request waits for its reply.
 BOOST_AUTO_TEST_CASE(request_to_a_stopped_peer_has_an_unknown_outcome) {
   std::thread stopper([this] {
     std::this_thread::sleep_for(milliseconds(100));
@@ -126,7 +130,8 @@
   stopper.join();
   BOOST_CHECK_THROW(A.forward(HostId("b"), "echo", "", milliseconds(100)),
                     PeerUnreachable);
-  BOOST_CHECK_THROW(B.forward(HostId("a"), "echo", "", HangTimeout), PeerUnreachable);
+  BOOST_CHECK_THROW(B.forward(HostId("a"), "echo", "", HangTimeout),
+                    PeerUnreachable);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
