--- a/Libraries/LibPeer/FleetLink.cpp
+++ b/Libraries/LibPeer/FleetLink.cpp
@@ -34,7 +34,7 @@
 
 PeerSocketEvents FleetLink::Impl::events() {
   PeerSocketEvents events;
-  events.Accepted = [this](ConnectionId id) { Socket->trust(id); };
+  events.Accepted = [this](ConnectionId id) { Socket->raiseMessageLimit(id); };
   events.Opened = [this](ConnectionId id) {
     const auto it = Outgoing.find(id);
     if (it != Outgoing.end())
--- a/Libraries/LibPeer/FleetReportCodec.cpp
+++ b/Libraries/LibPeer/FleetReportCodec.cpp
@@ -19,14 +19,14 @@
   return {bytes.begin(), bytes.end()};
 }
 
-json fromMember(const FleetMember &it) {
+json memberToJson(const FleetMember &it) {
   return {it.Host.text(),        it.Zone.text(), it.PeerAddress,
           it.CallerAddress,      it.IsReady,     it.IsLeaving,
           it.IsStoreUnreachable, it.HoldsDuties, it.LeaseRevision,
           it.FencingToken,       it.Capacity};
 }
 
-FleetMember toMember(const json &from) {
+FleetMember memberFromJson(const json &from) {
   FleetMember out;
   out.Host = HostId(from.at(0).get<std::string>());
   out.Zone = ZoneId(from.at(1).get<std::string>());
@@ -43,67 +43,68 @@
 }
 
 template <typename Value>
-json fromTeams(const std::map<TeamId, Value> &byTeam) {
+json teamsToJson(const std::map<TeamId, Value> &byTeam) {
   json out = json::array();
   for (const auto &[team, value] : byTeam)
     out.push_back({team.text(), value});
   return out;
 }
 
-template <typename Value> std::map<TeamId, Value> toTeams(const json &from) {
+template <typename Value>
+std::map<TeamId, Value> teamsFromJson(const json &from) {
   std::map<TeamId, Value> out;
   for (const json &it : from)
     out[TeamId(it.at(0).get<std::string>())] = it.at(1).get<Value>();
   return out;
 }
 
-FleetReport toReport(const json &all) {
+FleetReport fleetReportFromJson(const json &messageFields) {
   FleetReport report;
-  const int scope = all.at(2).get<int>();
+  const int scope = messageFields.at(2).get<int>();
   if (scope < 0 || scope > static_cast<int>(ReportScope::OwnZone))
     throw PeerMessageRefused("fleet report has an unknown scope");
   report.Scope = static_cast<ReportScope>(scope);
-  report.Reporter = HostId(all.at(3).get<std::string>());
-  report.Zone = ZoneId(all.at(4).get<std::string>());
-  report.Incarnation = IncarnationId(all.at(5).get<std::string>());
-  all.at(6).get_to(report.Sequence);
-  report.Uptime = Duration(all.at(7).get<std::int64_t>());
-  all.at(8).get_to(report.SentAt);
-  all.at(9).get_to(report.FleetTimeMs);
-  for (const json &it : all.at(10))
-    report.Members.push_back(toMember(it));
-  for (const json &it : all.at(11))
+  report.Reporter = HostId(messageFields.at(3).get<std::string>());
+  report.Zone = ZoneId(messageFields.at(4).get<std::string>());
+  report.Incarnation = IncarnationId(messageFields.at(5).get<std::string>());
+  messageFields.at(6).get_to(report.Sequence);
+  report.Uptime = Duration(messageFields.at(7).get<std::int64_t>());
+  messageFields.at(8).get_to(report.SentAt);
+  messageFields.at(9).get_to(report.FleetTimeMs);
+  for (const json &it : messageFields.at(10))
+    report.Members.push_back(memberFromJson(it));
+  for (const json &it : messageFields.at(11))
     report.Open[UpstreamId(it.at(0).get<std::string>())] = {
         it.at(1).get<int>(), it.at(2).get<std::int64_t>(),
         it.at(3).get<std::int64_t>()};
-  report.Used = toTeams<UsedUnits>(all.at(12));
-  report.Levels = toTeams<double>(all.at(13));
-  for (const json &window : all.at(14))
+  report.Used = teamsFromJson<UsedUnits>(messageFields.at(12));
+  report.Levels = teamsFromJson<double>(messageFields.at(13));
+  for (const json &window : messageFields.at(14))
     report.Usage[window.at(0).get<WindowNumber>()] =
-        toTeams<std::int64_t>(window.at(1));
-  all.at(15).get_to(report.Moves);
-  report.Pace = toTeams<double>(all.at(16));
-  for (const json &it : all.at(17))
+        teamsFromJson<std::int64_t>(window.at(1));
+  messageFields.at(15).get_to(report.Moves);
+  report.Pace = teamsFromJson<double>(messageFields.at(16));
+  for (const json &it : messageFields.at(17))
     report.Demand[ServiceId(it.at(0).get<std::string>())] =
         it.at(1).get<double>();
-  for (const json &it : all.at(18))
+  for (const json &it : messageFields.at(18))
     report.Included[HostId(it.at(0).get<std::string>())] =
         it.at(1).get<std::uint64_t>();
   return report;
 }
 
-RelayedChanges toRelayedChanges(const json &all) {
+RelayedChanges relayedChangesFromJson(const json &messageFields) {
   RelayedChanges relayedChanges;
-  const auto kind = all.at(2).get<std::size_t>();
+  const auto kind = messageFields.at(2).get<std::size_t>();
   if (kind >= ResourceKindCount)
     throw PeerMessageRefused("relayed changes have an unknown resource kind");
   relayedChanges.Kind = static_cast<ResourceKind>(kind);
-  all.at(3).get_to(relayedChanges.From);
-  all.at(4).get_to(relayedChanges.Changes.AtRevision);
-  all.at(5).get_to(relayedChanges.IsTruncated);
-  relayedChanges.Age = Duration(all.at(6).get<std::int64_t>());
-  all.at(7).get_to(relayedChanges.Echo);
-  for (const json &it : all.at(8)) {
+  messageFields.at(3).get_to(relayedChanges.From);
+  messageFields.at(4).get_to(relayedChanges.Changes.AtRevision);
+  messageFields.at(5).get_to(relayedChanges.IsTruncated);
+  relayedChanges.Age = Duration(messageFields.at(6).get<std::int64_t>());
+  messageFields.at(7).get_to(relayedChanges.Echo);
+  for (const json &it : messageFields.at(8)) {
     ResourceChange change;
     it.at(0).get_to(change.Object.Name);
     it.at(1).get_to(change.Object.Body);
@@ -120,7 +121,7 @@
 std::string encodeFleetMessage(const FleetReport &report) {
   json members = json::array();
   for (const FleetMember &it : report.Members)
-    members.push_back(fromMember(it));
+    members.push_back(memberToJson(it));
   json open = json::array();
   for (const auto &[id, work] : report.Open)
     open.push_back({id.text(), work.Calls, work.PromptTokens, work.Tokens});
@@ -129,7 +130,7 @@
     demand.push_back({service.text(), rate});
   json usage = json::array();
   for (const auto &[window, counts] : report.Usage)
-    usage.push_back({window, fromTeams(counts)});
+    usage.push_back({window, teamsToJson(counts)});
   json included = json::array();
   for (const auto &[host, sequence] : report.Included)
     included.push_back({host.text(), sequence});
@@ -137,9 +138,9 @@
                   static_cast<int>(report.Scope), report.Reporter.text(),
                   report.Zone.text(), report.Incarnation.text(),
                   report.Sequence, report.Uptime.count(), report.SentAt,
-                  report.FleetTimeMs, members, open, fromTeams(report.Used),
-                  fromTeams(report.Levels), usage, report.Moves,
-                  fromTeams(report.Pace), demand, included});
+                  report.FleetTimeMs, members, open, teamsToJson(report.Used),
+                  teamsToJson(report.Levels), usage, report.Moves,
+                  teamsToJson(report.Pace), demand, included});
 }
 
 std::string encodeFleetMessage(const RelayedChanges &relayedChanges) {
@@ -155,13 +156,14 @@
 
 FleetMessage decodeFleetMessage(const std::string &bytes) {
   try {
-    const json all = json::from_cbor(bytes);
-    if (all.at(0).get<int>() != FormatNumber)
+    const json messageFields = json::from_cbor(bytes);
+    if (messageFields.at(0).get<int>() != FormatNumber)
       throw PeerMessageRefused(
           "fleet message has an unsupported format number");
-    if (all.at(1).get<int>() == static_cast<int>(MessageKind::ChangeRelay))
-      return toRelayedChanges(all);
-    return toReport(all);
+    if (messageFields.at(1).get<int>() ==
+        static_cast<int>(MessageKind::ChangeRelay))
+      return relayedChangesFromJson(messageFields);
+    return fleetReportFromJson(messageFields);
   } catch (const json::exception &error) {
     throw PeerMessageRefused(std::string("fleet message can't be decoded: ") +
                              error.what());
--- a/Libraries/LibPeer/MeshActions.h
+++ b/Libraries/LibPeer/MeshActions.h
@@ -21,7 +21,7 @@
   std::function<void(ConnectionId)> Close;
   /// Raises the limit on the size of received messages, once the peer is
   /// authenticated.
-  std::function<void(ConnectionId)> Trust;
+  std::function<void(ConnectionId)> RaiseMessageLimit;
 };
 
 /// Sends the reply to a peer's request. May be called once, from any thread.
--- a/Libraries/LibPeer/MeshState.cpp
+++ b/Libraries/LibPeer/MeshState.cpp
@@ -168,7 +168,7 @@
   if (dropDuplicateLink(connection))
     return;
   PeerLink &link = LinksByConnection.at(connection);
-  Transport.Trust(connection);
+  Transport.RaiseMessageLimit(connection);
   link.UsedAt = at;
   SeenHosts.recordContact(link.host(), at);
   sendUpdate(connection, LocalKnowledge);
@@ -308,7 +308,7 @@
 void MeshState::request(const HostId &host, std::string kind, std::string body,
                         Instant deadline, OnPeerResult onResult) {
   if (LocalKnowledge.Hosts.count(host) == 0) {
-    onResult({PeerRequestEnd::Unreachable, "host is unknown"});
+    onResult({PeerRequestOutcome::Unreachable, "host is unknown"});
     return;
   }
   Requests.add(host, std::move(kind), std::move(body), deadline,
--- a/Libraries/LibPeer/PeerLink.h
+++ b/Libraries/LibPeer/PeerLink.h
@@ -36,11 +36,11 @@
   /// The knowledge that the peer has sent or that was sent to it.
   PeerKnowledge KnownToPeer;
 
-  const PeerHello &own() const { return Own; }
+  const PeerHello &own() const { return OwnHello; }
   /// The identity of the peer; authenticated once the link is live.
-  HostId host() const { return Other ? Other->Host : HostId(); }
+  HostId host() const { return OtherHello ? OtherHello->Host : HostId(); }
   IncarnationId incarnation() const {
-    return Other ? Other->Incarnation : IncarnationId();
+    return OtherHello ? OtherHello->Incarnation : IncarnationId();
   }
   /// Processes the peer's hello and returns the proof to send to it. Throws
   /// PeerHandshakeFailed if the hello is invalid or unexpected.
@@ -52,8 +52,8 @@
                    const std::vector<std::string> &secrets);
 
 private:
-  PeerHello Own;
-  std::optional<PeerHello> Other;
+  PeerHello OwnHello;
+  std::optional<PeerHello> OtherHello;
 };
 
 } // namespace sorrelbay
--- a/Libraries/LibPeer/PeerMesh.cpp
+++ b/Libraries/LibPeer/PeerMesh.cpp
@@ -46,7 +46,9 @@
     Socket->send(it, bytes);
   };
   transport.Close = [this](ConnectionId it) { Socket->close(it); };
-  transport.Trust = [this](ConnectionId it) { Socket->trust(it); };
+  transport.RaiseMessageLimit = [this](ConnectionId it) {
+    Socket->raiseMessageLimit(it);
+  };
   return transport;
 }
 
@@ -133,14 +135,14 @@
     throw PeerOutcomeUnknown(
         "peer mesh reported no result of the request in time");
   const PeerRequestResult result = future.get();
-  switch (result.End) {
-  case PeerRequestEnd::Done:
+  switch (result.RequestOutcome) {
+  case PeerRequestOutcome::Done:
     return result.Body;
-  case PeerRequestEnd::Declined:
+  case PeerRequestOutcome::Declined:
     throw PeerDeclined(host.text() + ": " + result.Body);
-  case PeerRequestEnd::Unreachable:
+  case PeerRequestOutcome::Unreachable:
     throw PeerUnreachable(host.text() + ": " + result.Body);
-  case PeerRequestEnd::Unknown:
+  case PeerRequestOutcome::Unknown:
     break;
   }
   throw PeerOutcomeUnknown(host.text() + ": " + result.Body);
--- a/Libraries/LibPeer/PeerRequests.cpp
+++ b/Libraries/LibPeer/PeerRequests.cpp
@@ -40,9 +40,9 @@
   // earlier incarnation or of another peer.
   if (it == PendingRequests.end() || it->second.SentOver != connection)
     return;
-  finish(reply.Number,
-         {reply.IsDone ? PeerRequestEnd::Done : PeerRequestEnd::Declined,
-          reply.Body});
+  finish(reply.Number, {reply.IsDone ? PeerRequestOutcome::Done
+                                     : PeerRequestOutcome::Declined,
+                        reply.Body});
 }
 
 void PeerRequests::connectionClosed(ConnectionId connection) {
@@ -51,7 +51,8 @@
     if (pendingRequest.SentOver == connection)
       lostRequests.push_back(number);
   for (const std::uint64_t it : lostRequests)
-    finish(it, {PeerRequestEnd::Unknown, "connection closed before the reply"});
+    finish(it,
+           {PeerRequestOutcome::Unknown, "connection closed before the reply"});
 }
 
 void PeerRequests::expire(Instant at) {
@@ -61,7 +62,8 @@
       expiredRequests.push_back(number);
   for (const std::uint64_t it : expiredRequests) {
     const bool wasSent = PendingRequests.at(it).SentOver != 0;
-    finish(it, {wasSent ? PeerRequestEnd::Unknown : PeerRequestEnd::Unreachable,
+    finish(it, {wasSent ? PeerRequestOutcome::Unknown
+                        : PeerRequestOutcome::Unreachable,
                 "no reply before the deadline"});
   }
 }
--- a/Libraries/LibPeer/PeerRequests.h
+++ b/Libraries/LibPeer/PeerRequests.h
@@ -8,10 +8,10 @@
 namespace sorrelbay {
 
 /// The outcome of a request to a peer. See the exceptions in PeerFailures.h.
-enum class PeerRequestEnd { Done, Declined, Unreachable, Unknown };
+enum class PeerRequestOutcome { Done, Declined, Unreachable, Unknown };
 
 struct PeerRequestResult {
-  PeerRequestEnd End = PeerRequestEnd::Unreachable;
+  PeerRequestOutcome RequestOutcome = PeerRequestOutcome::Unreachable;
   std::string Body;
 };
 
--- a/Libraries/LibPeer/PeerSocket.cpp
+++ b/Libraries/LibPeer/PeerSocket.cpp
@@ -240,7 +240,7 @@
     abortConnection(socketConnection.Initiated);
 }
 
-void PeerSocket::trust(ConnectionId connection) {
+void PeerSocket::raiseMessageLimit(ConnectionId connection) {
   const auto it = All->OpenConnections.find(connection);
   if (it == All->OpenConnections.end())
     return;
--- a/Libraries/LibPeer/PeerSocket.h
+++ b/Libraries/LibPeer/PeerSocket.h
@@ -65,7 +65,8 @@
   ConnectionId connect(const std::string &address);
   void send(ConnectionId connection, const std::string &bytes);
   void close(ConnectionId connection);
-  void trust(ConnectionId connection);
+  /// Raises the limit on received messages to MaxPeerMessageBytes.
+  void raiseMessageLimit(ConnectionId connection);
 
 private:
   struct Impl;
--- a/Tests/LibPeer/FakeNetwork.cpp
+++ b/Tests/LibPeer/FakeNetwork.cpp
@@ -42,7 +42,7 @@
     send(to, bytes);
   };
   transport.Close = [this](ConnectionId it) { close(it); };
-  transport.Trust = [](ConnectionId) {};
+  transport.RaiseMessageLimit = [](ConnectionId) {};
   node.Mesh = std::make_unique<MeshState>(
       settings, transport, withDefaults(std::move(options.Hooks)), Now);
   tick(name, node.ProcessNumber);
--- a/Tests/LibPeer/TestMeshState.cpp
+++ b/Tests/LibPeer/TestMeshState.cpp
@@ -114,6 +114,8 @@
   BOOST_CHECK_GE(Net.mesh("a").counts().HandshakeFailures, 1);
 }
 
+// A peer sends a message before it has authenticated, or an incomplete hello or
+// proof.
 BOOST_DATA_TEST_CASE(message_before_proof_ends_the_connection,
                      boost::unit_test::data::make(EarlyMessageRows), row) {
   std::vector<ConnectionId> ended;
@@ -160,7 +162,7 @@
   BOOST_CHECK_EQUAL(generation("b"), 5);
   BOOST_CHECK_GE(Net.mesh("a").counts().SilenceTimeouts, 1);
   BOOST_REQUIRE(*result);
-  BOOST_CHECK((*result)->End == PeerRequestEnd::Unknown);
+  BOOST_CHECK((*result)->RequestOutcome == PeerRequestOutcome::Unknown);
 }
 
 // A daemon is paused and resumed. Its sockets hold heartbeat replies from
@@ -204,10 +206,11 @@
   const auto declined = request("a", "c", seconds(1));
   const auto unknownHost = request("a", "z", seconds(1));
   Net.run(seconds(1));
-  BOOST_CHECK((*done)->End == PeerRequestEnd::Done);
+  BOOST_CHECK((*done)->RequestOutcome == PeerRequestOutcome::Done);
   BOOST_CHECK_EQUAL((*done)->Body, "re: x");
-  BOOST_CHECK((*declined)->End == PeerRequestEnd::Declined);
-  BOOST_CHECK((*unknownHost)->End == PeerRequestEnd::Unreachable);
+  BOOST_CHECK((*declined)->RequestOutcome == PeerRequestOutcome::Declined);
+  BOOST_CHECK((*unknownHost)->RequestOutcome ==
+              PeerRequestOutcome::Unreachable);
 }
 
 // The peer fails while it has a forwarded call. The caller may get the result
@@ -226,8 +229,8 @@
   const auto unsent = request("a", "b", seconds(2));
   Net.run(seconds(3));
   BOOST_REQUIRE(*sent && *unsent);
-  BOOST_CHECK((*sent)->End == PeerRequestEnd::Unknown);
-  BOOST_CHECK((*unsent)->End == PeerRequestEnd::Unreachable);
+  BOOST_CHECK((*sent)->RequestOutcome == PeerRequestOutcome::Unknown);
+  BOOST_CHECK((*unsent)->RequestOutcome == PeerRequestOutcome::Unreachable);
 }
 
 // A peer that was disconnected for a long time sends an old bundle, or a
@@ -267,6 +270,8 @@
   BOOST_CHECK(hosts.at(HostId("b")).CallerAddress == "b:2");
 }
 
+// A host fails before another one starts. The new host receives reports of the
+// failed one from its peers and must not send callers there.
 BOOST_AUTO_TEST_CASE(dead_host_is_not_recently_seen_by_a_new_host) {
   startThree();
   Net.kill("b");
@@ -328,6 +333,8 @@
                     100);
 }
 
+// A peer sends malformed bytes, or a hello on a connection that is already
+// live. Only that connection may be closed.
 BOOST_AUTO_TEST_CASE(broken_bytes_end_only_their_connection) {
   startThree();
   const auto decode = [](const std::string &it) { decodePeerMessage(it); };
