--- a/Tests/LibPeer/BundleSpread.h
+++ b/Tests/LibPeer/BundleSpread.h
@@ -11,20 +11,20 @@
 
 namespace sorrelbay {
 
-/// What a run leaves out, to show that its checks see the harm.
+/// The mechanism that a run leaves out, to show that the checks detect it.
 enum class SpreadVariant {
   Sound,
-  /// A daemon acts by whatever bundle it saw last.
+  /// A daemon adopts every bundle that it receives, even an older one.
   LastSeenWins,
-  /// A daemon takes bundles without looking at the signature.
+  /// A daemon adopts bundles without verifying the signature.
   Unverified,
-  /// An operator's tool writes without a condition.
+  /// The object API accepts writes without comparing the version.
   UnconditionalRoll,
-  /// Daemons do not tell each other their bundle.
+  /// Daemons do not send their bundle to peers.
   NoPeers,
 };
 
-/// What happened in a run, to show that it met what it was made for.
+/// Counts of events in a run, to show that it exercised all faults.
 struct SpreadCounts {
   std::uint64_t Rolled = 0;
   std::uint64_t Outdated = 0;
@@ -42,21 +42,22 @@
   std::uint64_t AdoptionsFromPeers = 0;
 };
 
-/// Entry hosts, two operators and an object API under random faults. After each
-/// event it checks that no daemon goes back to an older bundle, that only
-/// bundles which the object API took come into force, and that one generation
-/// is one bundle. Breaks are reported as broken invariants.
+/// Simulates entry hosts, two operators and an object API under random faults.
+/// Checks after each event that no daemon reverts to an older bundle, that only
+/// bundles stored by the object API come into force, and that no generation has
+/// two bundles. Violations are reported through failInvariant().
 class BundleSpread {
 public:
   BundleSpread(std::uint64_t seed, SpreadVariant variant);
 
-  /// Random faults for that many steps of a tenth of a second.
+  /// Injects random faults for the given number of steps of 100 ms each.
   void runFaults(int steps);
-  /// Ends all faults but an outage if one is wanted, and checks that within
-  /// seconds all daemons have the newest bundle.
+  /// Ends all faults and rolls a new bundle. If `isOutage`, the object API then
+  /// fails once one daemon has received it. Checks that all daemons have the
+  /// bundle within seconds.
   void healAndCheck(bool isOutage);
-  /// In an outage, starts all daemons but one anew, and checks that they get
-  /// the bundle from each other.
+  /// Restarts all daemons except one during an outage of the object API and
+  /// checks that they get the bundle from their peers.
   void restartInOutageAndCheck();
 
   const SpreadCounts &counts() const { return Counts; }
@@ -64,26 +65,27 @@
 private:
   struct Host {
     std::unique_ptr<ActiveBundle> Bundles;
-    /// What LastSeenWins and Unverified act by in its place.
+    /// The bundle in force. LastSeenWins and Unverified use it instead of
+    /// Bundles.
     std::uint64_t Generation = 0;
     std::string Bytes;
     std::uint64_t KnownVersion = 0;
-    std::uint64_t Life = 0;
+    std::uint64_t ProcessNumber = 0;
     bool IsUp = false;
     bool IsPaused = false;
-    std::deque<std::function<void()>> Waiting;
+    std::deque<std::function<void()>> DeferredEvents;
   };
 
   void step();
   void start(const std::string &name);
-  void pauseSome();
+  void pauseRandomHost();
   void resume(const std::string &name);
   void watch(const std::string &name);
-  void takeFromObject(const std::string &name, const StoredObject &object);
-  bool takeFromPeer(const std::string &name, const BundleMark &mark);
+  void applyStoredBundle(const std::string &name, const StoredObject &object);
+  bool acceptFromPeer(const std::string &name, const BundleMark &mark);
   bool offer(const std::string &name, const BundleMark &mark);
-  bool offerCarelessly(Host &host, const BundleMark &mark);
-  void noteInForce(const std::string &name, const std::string &bytes);
+  bool offerUnchecked(Host &host, const BundleMark &mark);
+  void recordInForce(const std::string &name, const std::string &bytes);
   void roll();
   void rollOnce(const SignedBundle &bundle);
   void rollWithoutCondition(const SignedBundle &bundle);
@@ -91,9 +93,9 @@
   void forge();
   ObjectApi objectApi();
   std::uint64_t write(const std::string &body, std::uint64_t expected);
-  void noteCommitted(const std::string &body);
-  bool chance(int outOfThousand);
-  std::string someHost();
+  void recordCommitted(const std::string &body);
+  bool chance(int perMille);
+  std::string randomHost();
 
   SpreadVariant Variant;
   FakeNetwork Net;
@@ -102,13 +104,13 @@
   std::map<std::string, Host> Hosts;
   std::optional<StoredObject> Object;
   bool IsOutage = false;
-  bool IsRacing = false;
+  bool IsConcurrentRoll = false;
   bool HasFaults = true;
   std::vector<std::string> Committed;
   std::map<std::uint64_t, std::string> ByGeneration;
-  std::uint64_t Highest = 0;
+  std::uint64_t HighestGeneration = 0;
   std::uint64_t NextTeam = 0;
-  std::uint64_t NextLife = 1;
+  std::uint64_t NextProcessNumber = 1;
   SpreadCounts Counts;
 };
 
--- a/Tests/LibPeer/TestMeshState.cpp
+++ b/Tests/LibPeer/TestMeshState.cpp
@@ -16,7 +16,7 @@
   return knowledge;
 }
 
-/// Daemons "a", "b", "c", ... that all know the first one's address.
+/// Daemons named "a", "b", "c" and so on, all of which have "a" as their seed.
 struct MeshFixture {
   FakeNetwork Net{7};
 
@@ -36,7 +36,7 @@
   bool isLinked(const std::string &a, const std::string &b) {
     return Net.mesh(a).linkedHosts().count(HostId(b)) != 0;
   }
-  /// Sends a request and gives the place where its result will be.
+  /// Sends a request. The returned object receives its result.
   std::shared_ptr<std::optional<PeerRequestResult>>
   request(const std::string &from, const std::string &to, Duration waitLimit) {
     auto result = std::make_shared<std::optional<PeerRequestResult>>();
@@ -47,20 +47,20 @@
   }
 };
 
-/// Speech out of turn on a connection that has not been proved.
-struct RudeRow {
+/// A message that violates the handshake.
+struct EarlyMessageRow {
   const char *Name;
   PeerMessage Message;
 };
 
-std::ostream &operator<<(std::ostream &out, const RudeRow &row) {
+std::ostream &operator<<(std::ostream &out, const EarlyMessageRow &row) {
   return out << row.Name;
 }
 
-const PeerHello Stranger{HostId("x"), IncarnationId("1"),
-                         std::string(NonceBytes, 'n')};
+const PeerHello UnprovedHello{HostId("x"), IncarnationId("1"),
+                              std::string(NonceBytes, 'n')};
 
-const RudeRow RudeRows[] = {
+const EarlyMessageRow EarlyMessageRows[] = {
     {"news", PeerUpdate{bundleOf(9)}},
     {"request", PeerRequest{1, "ticket-call", "x"}},
     {"heartbeat", PeerHeartbeat{}},
@@ -83,9 +83,9 @@
   BOOST_CHECK_EQUAL(generation("c"), 4);
 }
 
-// Two daemons are each other's seed and connect at the same moment. If each
-// kept another one of the two connections and closed the rest, both would be
-// gone, again and again.
+// Two daemons are each other's seed and connect at the same time. If each kept
+// a different connection and closed the other one, both connections would
+// close, again at each attempt.
 BOOST_AUTO_TEST_CASE(crossed_connections_leave_one) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     FakeNetwork net(seed);
@@ -93,7 +93,7 @@
     net.start("a", "z", {"a secret of the mesh", {"b:1"}, {}});
     net.start("b", "z", {"a secret of the mesh", {"a:1"}, {}});
     net.run(seconds(1));
-    // Both tries hang, so both are made anew at one moment.
+    // Both attempts time out, so both are repeated at the same time.
     net.mend();
     net.run(Settled);
     BOOST_CHECK_EQUAL(net.mesh("a").linkedHosts().size(), 1);
@@ -102,9 +102,9 @@
   }
 }
 
-// Somebody who can reach the peer port connects without the secret, to read
-// what peers tell or to feed them bundles.
-BOOST_AUTO_TEST_CASE(wrong_secret_is_turned_away) {
+// An attacker who can reach the peer port connects without the secret, to read
+// updates or to inject bundles.
+BOOST_AUTO_TEST_CASE(wrong_secret_is_rejected) {
   start("a");
   start("b", {"another secret of no mesh", {}, {}});
   Net.mesh("b").publish(bundleOf(9), Net.at());
@@ -114,8 +114,10 @@
   BOOST_CHECK_GE(Net.mesh("a").counts().HandshakeFailures, 1);
 }
 
-BOOST_DATA_TEST_CASE(unproved_speech_ends_the_connection,
-                     boost::unit_test::data::make(RudeRows), row) {
+// A peer sends a message before it has authenticated, or an incomplete hello or
+// proof.
+BOOST_DATA_TEST_CASE(message_before_proof_ends_the_connection,
+                     boost::unit_test::data::make(EarlyMessageRows), row) {
   std::vector<ConnectionId> ended;
   std::vector<PeerMessage> sent;
   MeshTransport transport;
@@ -134,21 +136,21 @@
   BOOST_CHECK_EQUAL(mesh.counts().HandshakeFailures, 1);
 }
 
-// A stranger sends back to a daemon what it received from it. Without the role
-// in the proof the daemon's own proof would let the stranger in.
-BOOST_AUTO_TEST_CASE(own_proof_thrown_back_is_refused) {
+// An attacker reflects a daemon's own messages. Without the role in the proof,
+// the daemon would accept its own proof as that of the attacker.
+BOOST_AUTO_TEST_CASE(reflected_own_proof_is_refused) {
   const std::string secret = "a secret of the mesh";
   const PeerHello own{HostId("a"), IncarnationId("1"),
                       std::string(NonceBytes, 'a')};
   PeerLink link(PeerRole::Accepter, "", own, Instant());
   link.Stage = LinkStage::Handshaking;
-  const PeerProof proof = link.greet(own, secret);
-  BOOST_CHECK_THROW(link.prove(proof, {secret}), PeerHandshakeFailed);
+  const PeerProof proof = link.acceptHello(own, secret);
+  BOOST_CHECK_THROW(link.verifyProof(proof, {secret}), PeerHandshakeFailed);
 }
 
-// Something between two hosts loses track of an open connection: nothing
-// comes through any more, but neither side is told. Bundles would stop there
-// until TCP gives up, many minutes later.
+// A middlebox drops the state of an open connection: no message gets through,
+// but neither side is notified. Bundles would not get through until TCP times
+// out, many minutes later.
 BOOST_AUTO_TEST_CASE(silent_connection_is_replaced) {
   start("a");
   start("b");
@@ -160,11 +162,11 @@
   BOOST_CHECK_EQUAL(generation("b"), 5);
   BOOST_CHECK_GE(Net.mesh("a").counts().SilenceTimeouts, 1);
   BOOST_REQUIRE(*result);
-  BOOST_CHECK((*result)->End == PeerRequestEnd::Unknown);
+  BOOST_CHECK((*result)->RequestOutcome == PeerRequestOutcome::Unknown);
 }
 
-// A daemon is stopped and goes on later. Its sockets hold answers from before
-// the stop; taken for fresh ones they would tell it that its view holds now.
+// A daemon is paused and resumed. Its sockets hold heartbeat replies from
+// before the pause, which must not make its stale knowledge count as fresh.
 BOOST_AUTO_TEST_CASE(messages_from_before_a_pause_are_not_fresh) {
   Instant resumedAt{};
   int freshCount = 0;
@@ -175,8 +177,8 @@
   };
   start("a");
   start("b", std::move(options));
-  // Stopped at each step between two questions, so that some stops fall between
-  // a question and its answer.
+  // Pauses at various times between two heartbeats, so that some pauses begin
+  // between a heartbeat and its reply.
   for (int n = 0; n < 10; ++n) {
     Net.run(Settled + n * milliseconds(50));
     Net.pause("b");
@@ -204,15 +206,16 @@
   const auto declined = request("a", "c", seconds(1));
   const auto unknownHost = request("a", "z", seconds(1));
   Net.run(seconds(1));
-  BOOST_CHECK((*done)->End == PeerRequestEnd::Done);
+  BOOST_CHECK((*done)->RequestOutcome == PeerRequestOutcome::Done);
   BOOST_CHECK_EQUAL((*done)->Body, "re: x");
-  BOOST_CHECK((*declined)->End == PeerRequestEnd::Declined);
-  BOOST_CHECK((*unknownHost)->End == PeerRequestEnd::Unreachable);
+  BOOST_CHECK((*declined)->RequestOutcome == PeerRequestOutcome::Declined);
+  BOOST_CHECK((*unknownHost)->RequestOutcome ==
+              PeerRequestOutcome::Unreachable);
 }
 
-// The peer dies with a forwarded call. The caller may be told "not run" only
-// if the call never left this host.
-BOOST_AUTO_TEST_CASE(request_to_a_dead_peer_tells_sent_from_unsent) {
+// The peer fails while it has a forwarded call. The caller may get the result
+// "not run" only if the call was never sent.
+BOOST_AUTO_TEST_CASE(request_to_a_dead_peer_distinguishes_sent_from_unsent) {
   FakeNetwork::NodeOptions options;
   options.Hooks.OnRequest = [](const HostId &, const PeerRequest &,
                                const PeerRespond &) {};
@@ -226,12 +229,12 @@
   const auto unsent = request("a", "b", seconds(2));
   Net.run(seconds(3));
   BOOST_REQUIRE(*sent && *unsent);
-  BOOST_CHECK((*sent)->End == PeerRequestEnd::Unknown);
-  BOOST_CHECK((*unsent)->End == PeerRequestEnd::Unreachable);
+  BOOST_CHECK((*sent)->RequestOutcome == PeerRequestOutcome::Unknown);
+  BOOST_CHECK((*unsent)->RequestOutcome == PeerRequestOutcome::Unreachable);
 }
 
-// A peer that was cut off for long, or a hostile one, sends an old bundle, or
-// one that nobody signed.
+// A peer that was disconnected for a long time sends an old bundle, or a
+// malicious peer sends an unsigned one.
 BOOST_AUTO_TEST_CASE(old_and_forged_bundles_change_nothing) {
   FakeNetwork::NodeOptions options;
   options.Hooks.AcceptBundle = [](const BundleMark &mark) {
@@ -251,9 +254,10 @@
   BOOST_CHECK(isLinked("b", "a"));
 }
 
-// A host is replaced by one whose clock is behind. Peers would take the old
-// life's last report for the newer one and never send anybody to the new host.
-BOOST_AUTO_TEST_CASE(later_life_with_an_older_clock_is_heard) {
+// A host is replaced by one whose clock is behind. Peers would treat the last
+// report of the earlier incarnation as newer and send no callers to the new
+// host.
+BOOST_AUTO_TEST_CASE(later_incarnation_with_an_older_clock_is_accepted) {
   startThree();
   PeerKnowledge old;
   HostReport report;
@@ -266,7 +270,9 @@
   BOOST_CHECK(hosts.at(HostId("b")).CallerAddress == "b:2");
 }
 
-BOOST_AUTO_TEST_CASE(dead_host_is_not_living_in_the_eyes_of_a_newcomer) {
+// A host fails before another one starts. The new host receives reports of the
+// failed one from its peers and must not send callers there.
+BOOST_AUTO_TEST_CASE(dead_host_is_not_recently_seen_by_a_new_host) {
   startThree();
   Net.kill("b");
   Net.run(seconds(7));
@@ -277,7 +283,8 @@
 }
 
 // A version turns out bad while the object API is down. Each daemon sees only
-// its own calls; without the others' word it would go on sending calls there.
+// its own calls; without its peers' evidence and veto it would keep sending
+// calls to that version.
 BOOST_AUTO_TEST_CASE(veto_and_evidence_spread_between_daemons) {
   startThree();
   const EvidenceKey key{VersionId("v2"), RouteId("quote")};
@@ -310,8 +317,8 @@
                 Net.mesh("b").knowledge().Rollout);
 }
 
-// Two daemons can't reach each other but both reach a third one.
-BOOST_AUTO_TEST_CASE(news_pass_through_a_third_daemon) {
+// Two daemons can't reach each other, but both can reach a third one.
+BOOST_AUTO_TEST_CASE(updates_are_relayed_by_a_third_daemon) {
   startThree();
   Net.cut("a", "b");
   Net.run(Settled);
@@ -326,12 +333,14 @@
                     100);
 }
 
+// A peer sends malformed bytes, or a hello on a connection that is already
+// live. Only that connection may be closed.
 BOOST_AUTO_TEST_CASE(broken_bytes_end_only_their_connection) {
   startThree();
   const auto decode = [](const std::string &it) { decodePeerMessage(it); };
   for (const char *it : {"", "{}", "\xa0", "\xff\xff"})
     BOOST_CHECK_THROW(decode(it), PeerMessageRefused);
-  Net.inject("a", "b", Stranger);
+  Net.inject("a", "b", UnprovedHello);
   Net.run(Settled);
   BOOST_CHECK_GE(Net.mesh("b").counts().HandshakeFailures, 1);
   BOOST_CHECK(isLinked("a", "b"));
@@ -362,8 +371,9 @@
     BOOST_CHECK_EQUAL(generation(name), 3);
     most = std::max(most, Net.mesh(name).linkedHosts().size());
   }
-  BOOST_TEST_MESSAGE("most links of one daemon: "
-                     << most << ", bytes of news a second: " << bytesPerSecond);
+  BOOST_TEST_MESSAGE("maximum links of one daemon: "
+                     << most
+                     << ", update bytes per second: " << bytesPerSecond);
   BOOST_CHECK_LE(most, 26);
 }
 
