--- a/Libraries/LibHttp/AsyncHttpClient.cpp
+++ b/Libraries/LibHttp/AsyncHttpClient.cpp
@@ -11,47 +11,48 @@
 using namespace beastcommon;
 
 namespace {
-class Channel;
-using ChannelPointer = std::shared_ptr<Channel>;
+class ClientConnection;
+using ClientConnectionPointer = std::shared_ptr<ClientConnection>;
 using SteadyInstant = std::chrono::steady_clock::time_point;
-constexpr std::size_t BodyBlockBytes = 16UL * 1024;
+constexpr std::size_t ReadBufferBytes = 16UL * 1024;
 constexpr int FirstFinalStatus = 200;
 } // namespace
 
-struct AsyncHttpClient::Shared {
-  Shared(asio::io_context &loop, AsyncHttpClientSettings settings)
+struct AsyncHttpClient::SharedState {
+  SharedState(asio::io_context &loop, AsyncHttpClientSettings settings)
       : Loop(loop), Settings(settings) {}
 
   asio::io_context &Loop;
   AsyncHttpClientSettings Settings;
-  /// Kept connections, the one used last at the end.
-  std::map<std::string, std::vector<ChannelPointer>> Idle;
-  std::map<std::string, std::size_t> Open;
+  /// Idle connections by address, the most recently used one last.
+  std::map<std::string, std::vector<ClientConnectionPointer>> Idle;
+  std::map<std::string, std::size_t> ConnectionCounts;
   HttpClientCounts Counts;
   bool IsEnding = false;
 };
 
 namespace {
 
-using Shared = AsyncHttpClient::Shared;
+using SharedState = AsyncHttpClient::SharedState;
 using ReplyParser = http::response_parser<http::buffer_body>;
 
-/// One connection, with the call that is under way on it. It keeps itself alive
-/// through the operations that are pending.
-class Channel : public std::enable_shared_from_this<Channel> {
+/// A connection and the call in flight on it. Pending operations hold
+/// references that keep it alive.
+class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
 public:
-  Channel(std::shared_ptr<Shared> all, std::string address)
-      : All(std::move(all)), Address(std::move(address)), Socket(All->Loop),
-        Timer(All->Loop) {
-    ++All->Open[Address];
+  ClientConnection(std::shared_ptr<SharedState> clientState,
+                   std::string address)
+      : ClientState(std::move(clientState)), Address(std::move(address)),
+        Socket(ClientState->Loop), Timer(ClientState->Loop) {
+    ++ClientState->ConnectionCounts[Address];
   }
-  ~Channel() {
-    const auto it = All->Open.find(Address);
-    if (it != All->Open.end() && --it->second == 0)
-      All->Open.erase(it);
+  ~ClientConnection() {
+    const auto it = ClientState->ConnectionCounts.find(Address);
+    if (it != ClientState->ConnectionCounts.end() && --it->second == 0)
+      ClientState->ConnectionCounts.erase(it);
   }
-  Channel(const Channel &) = delete;
-  Channel &operator=(const Channel &) = delete;
+  ClientConnection(const ClientConnection &) = delete;
+  ClientConnection &operator=(const ClientConnection &) = delete;
 
   void connect();
   void start(const HttpCall &call, HttpCallHooks hooks);
@@ -60,31 +61,31 @@
   void pause() { IsPaused = true; }
   void resume();
   bool isUsable() const { return !IsClosed && !IsWriting; }
-  SteadyInstant usedAt() const { return UsedAt; }
+  SteadyInstant lastUsedAt() const { return LastUsedAt; }
 
 private:
   void send();
-  void awaitReply();
-  void headRead();
+  void readResponseHeader();
+  void onHeaderRead();
   void readBody();
-  void bodyRead(ErrorCode ec);
-  void replyEnded();
-  void keep();
+  void onBodyRead(ErrorCode ec);
+  void onResponseEnd();
+  void returnToPool();
   void watchIdle();
   void fail(HttpFailure why);
 
-  std::shared_ptr<Shared> All;
+  std::shared_ptr<SharedState> ClientState;
   std::string Address;
   Tcp::socket Socket;
   asio::steady_timer Timer;
   boost::beast::flat_buffer Buffer;
   std::optional<ReplyParser> Parser;
-  std::array<char, BodyBlockBytes> Block{};
+  std::array<char, ReadBufferBytes> ReadBuffer{};
   HttpCallHooks Hooks;
   std::string Request;
-  SteadyInstant UsedAt{};
-  /// How long the other side says that it keeps the connection.
-  Duration OtherKeeps = hours(1);
+  SteadyInstant LastUsedAt{};
+  /// The server's keep-alive timeout, from the header of its last response.
+  Duration PeerKeepAliveTimeout = hours(1);
   bool IsHead = false;
   bool IsActive = false;
   bool IsForThisCall = false;
@@ -95,28 +96,29 @@
   bool IsConnected = false;
 };
 
-class Handle : public HttpCallHandle {
+class CallHandle : public HttpCallHandle {
 public:
-  explicit Handle(std::weak_ptr<Channel> on) : On(std::move(on)) {}
+  explicit CallHandle(std::weak_ptr<ClientConnection> callConnection)
+      : CallConnection(std::move(callConnection)) {}
   void cancel() override {
-    if (const auto on = On.lock())
-      on->cancel();
-    On.reset();
+    if (const auto callConnection = CallConnection.lock())
+      callConnection->cancel();
+    CallConnection.reset();
   }
   void pause() override {
-    if (const auto on = On.lock())
-      on->pause();
+    if (const auto callConnection = CallConnection.lock())
+      callConnection->pause();
   }
   void resume() override {
-    if (const auto on = On.lock())
-      on->resume();
+    if (const auto callConnection = CallConnection.lock())
+      callConnection->resume();
   }
 
 private:
-  std::weak_ptr<Channel> On;
+  std::weak_ptr<ClientConnection> CallConnection;
 };
 
-/// The request as it goes on the wire.
+/// The request in wire format.
 std::string requestText(const HttpCall &call, const std::string &address) {
   std::string out = call.Method;
   out += ' ';
@@ -137,7 +139,7 @@
   return out;
 }
 
-void Channel::close() {
+void ClientConnection::close() {
   if (IsClosed)
     return;
   IsClosed = true;
@@ -146,7 +148,7 @@
   Socket.close(ignored);
 }
 
-void Channel::cancel() {
+void ClientConnection::cancel() {
   if (!IsActive)
     return;
   IsActive = false;
@@ -154,7 +156,7 @@
   close();
 }
 
-void Channel::fail(HttpFailure why) {
+void ClientConnection::fail(HttpFailure why) {
   const auto self = shared_from_this();
   close();
   if (!IsActive)
@@ -165,8 +167,8 @@
   hooks.OnFailure(why);
 }
 
-void Channel::connect() {
-  Timer.expires_after(All->Settings.ConnectTimeout);
+void ClientConnection::connect() {
+  Timer.expires_after(ClientState->Settings.ConnectTimeout);
   Timer.async_wait([self = shared_from_this()](ErrorCode ec) {
     if (!ec && !self->IsConnected)
       self->fail(HttpFailure::NotSent);
@@ -175,7 +177,7 @@
   try {
     endpoint = endpointOf(Address);
   } catch (const std::exception &) {
-    asio::post(All->Loop, [self = shared_from_this()] {
+    asio::post(ClientState->Loop, [self = shared_from_this()] {
       self->fail(HttpFailure::NotSent);
     });
     return;
@@ -193,7 +195,7 @@
   });
 }
 
-void Channel::start(const HttpCall &call, HttpCallHooks hooks) {
+void ClientConnection::start(const HttpCall &call, HttpCallHooks hooks) {
   Hooks = std::move(hooks);
   IsActive = true;
   IsPaused = false;
@@ -204,13 +206,13 @@
     return connect();
   ErrorCode ignored;
   Timer.cancel(ignored);
-  asio::post(All->Loop, [self = shared_from_this()] {
+  asio::post(ClientState->Loop, [self = shared_from_this()] {
     if (self->IsActive)
       self->send();
   });
 }
 
-void Channel::send() {
+void ClientConnection::send() {
   if (IsClosed)
     return fail(HttpFailure::NotSent);
   if (Hooks.OnSending)
@@ -221,17 +223,19 @@
   asio::async_write(Socket, asio::buffer(Request),
                     [self = shared_from_this()](ErrorCode ec, std::size_t) {
                       self->IsWriting = false;
-                      // The reader finds the end as well, and may still find
-                      // an answer that came before it.
+                      // The pending read detects the closed connection too, and
+                      // may still receive a response that was sent before it
+                      // closed.
                       if (ec && self->IsClosed)
                         return;
                     });
-  awaitReply();
+  readResponseHeader();
 }
 
-void Channel::awaitReply() {
+void ClientConnection::readResponseHeader() {
   Parser.emplace();
-  Parser->header_limit(static_cast<std::uint32_t>(All->Settings.MaxHeadBytes));
+  Parser->header_limit(
+      static_cast<std::uint32_t>(ClientState->Settings.MaxHeadBytes));
   Parser->body_limit(std::numeric_limits<std::uint64_t>::max());
   if (IsHead)
     Parser->skip(true);
@@ -242,51 +246,52 @@
           return;
         if (ec)
           return self->fail(HttpFailure::Broken);
-        self->headRead();
+        self->onHeaderRead();
       });
 }
 
-void Channel::headRead() {
+void ClientConnection::onHeaderRead() {
   const auto &message = Parser->get();
   HttpReplyHead head;
   head.Status = static_cast<int>(message.result_int());
   if (head.Status < FirstFinalStatus)
-    return awaitReply();
+    return readResponseHeader();
   head.Headers = headersOf(message);
   if (const auto length = Parser->content_length())
     head.Length = *length;
-  const std::string keep = headerValue(head.Headers, "Keep-Alive");
-  const std::size_t at = keep.find("timeout=");
-  if (at != std::string::npos)
-    OtherKeeps = seconds(std::atoi(keep.c_str() + at + 8));
+  const std::string keepAliveHeader = headerValue(head.Headers, "Keep-Alive");
+  const std::size_t timeoutAt = keepAliveHeader.find("timeout=");
+  if (timeoutAt != std::string::npos)
+    PeerKeepAliveTimeout =
+        seconds(std::atoi(keepAliveHeader.c_str() + timeoutAt + 8));
   IsForThisCall = IsActive && Hooks.IsForThisCall(head);
   if (IsForThisCall)
     Hooks.OnHead(head);
   else
-    ++All->Counts.LateAnswers;
+    ++ClientState->Counts.LateResponses;
   if (IsClosed)
     return;
   readBody();
 }
 
-void Channel::readBody() {
+void ClientConnection::readBody() {
   if (Parser->is_done())
-    return replyEnded();
+    return onResponseEnd();
   if (IsPaused) {
     WaitsForResume = true;
     return;
   }
-  Parser->get().body().data = Block.data();
-  Parser->get().body().size = Block.size();
+  Parser->get().body().data = ReadBuffer.data();
+  Parser->get().body().size = ReadBuffer.size();
   Parser->get().body().more = true;
   http::async_read_some(Socket, Buffer, *Parser,
                         [self = shared_from_this()](ErrorCode ec, std::size_t) {
                           if (!self->IsClosed)
-                            self->bodyRead(ec);
+                            self->onBodyRead(ec);
                         });
 }
 
-void Channel::resume() {
+void ClientConnection::resume() {
   IsPaused = false;
   if (!WaitsForResume || IsClosed)
     return;
@@ -294,10 +299,10 @@
   readBody();
 }
 
-void Channel::bodyRead(ErrorCode ec) {
-  const std::size_t n = Block.size() - Parser->get().body().size;
+void ClientConnection::onBodyRead(ErrorCode ec) {
+  const std::size_t n = ReadBuffer.size() - Parser->get().body().size;
   if (n != 0 && IsForThisCall)
-    Hooks.OnBody({Block.data(), n});
+    Hooks.OnBody({ReadBuffer.data(), n});
   if (IsClosed)
     return;
   if (ec && ec != http::error::need_buffer)
@@ -305,14 +310,15 @@
   readBody();
 }
 
-void Channel::replyEnded() {
+void ClientConnection::onResponseEnd() {
   const bool keeps = Parser->keep_alive() && !IsWriting;
   Parser.reset();
   if (!IsForThisCall) {
-    // The answer to an earlier call; ours is behind it.
+    // This was a late response to an earlier call; the one to this call follows
+    // it.
     if (!keeps)
       return fail(HttpFailure::Broken);
-    return awaitReply();
+    return readResponseHeader();
   }
   const auto self = shared_from_this();
   IsActive = false;
@@ -321,63 +327,68 @@
   if (!keeps) {
     close();
   } else if (Buffer.size() != 0) {
-    ++All->Counts.ExtraBytes;
+    ++ClientState->Counts.UnexpectedInput;
     close();
   } else {
-    keep();
+    returnToPool();
   }
   hooks.OnEnd();
 }
 
-void Channel::keep() {
-  const Duration atMost = OtherKeeps - milliseconds(500);
-  const Duration limit = std::min(All->Settings.KeepAliveTimeout, atMost);
-  if (limit <= Duration::zero() || All->IsEnding)
+void ClientConnection::returnToPool() {
+  const Duration peerLimit = PeerKeepAliveTimeout - milliseconds(500);
+  const Duration limit =
+      std::min(ClientState->Settings.KeepAliveTimeout, peerLimit);
+  if (limit <= Duration::zero() || ClientState->IsEnding)
     return close();
-  UsedAt = std::chrono::steady_clock::now();
-  All->Idle[Address].push_back(shared_from_this());
+  LastUsedAt = std::chrono::steady_clock::now();
+  ClientState->Idle[Address].push_back(shared_from_this());
   Timer.expires_after(limit);
   Timer.async_wait([self = shared_from_this()](ErrorCode ec) {
     if (ec || self->IsActive)
       return;
     self->close();
-    auto &idle = self->All->Idle[self->Address];
+    auto &idle = self->ClientState->Idle[self->Address];
     idle.erase(std::remove(idle.begin(), idle.end(), self), idle.end());
   });
   watchIdle();
 }
 
-/// The other side's end, or bytes that belong to no call, must be seen before
-/// the next call is sent: a call that is lost with its connection may have run.
-void Channel::watchIdle() {
+/// A close by the server, or input that belongs to no call, must be detected
+/// before the next call is sent: a call that is lost with its connection may
+/// have run.
+void ClientConnection::watchIdle() {
   Socket.async_wait(
       Tcp::socket::wait_read, [self = shared_from_this()](ErrorCode ec) {
         if (ec || self->IsActive || self->IsClosed)
           return;
-        ++self->All->Counts.ExtraBytes;
+        ++self->ClientState->Counts.UnexpectedInput;
         self->close();
-        auto &idle = self->All->Idle[self->Address];
+        auto &idle = self->ClientState->Idle[self->Address];
         idle.erase(std::remove(idle.begin(), idle.end(), self), idle.end());
       });
 }
 
-/// A kept connection that was in use lately enough, the last one first.
-ChannelPointer takeIdle(Shared &all, const std::string &address,
-                        std::optional<Duration> freshness) {
-  const auto it = all.Idle.find(address);
-  if (it == all.Idle.end())
+/// Returns the most recently used idle connection, or null if there is none or
+/// it was last used longer ago than maxIdleTime.
+ClientConnectionPointer takeIdle(SharedState &clientState,
+                                 const std::string &address,
+                                 std::optional<Duration> maxIdleTime) {
+  const auto it = clientState.Idle.find(address);
+  if (it == clientState.Idle.end())
     return nullptr;
   auto &idle = it->second;
   while (!idle.empty()) {
-    ChannelPointer channel = idle.back();
-    const auto age = std::chrono::steady_clock::now() - channel->usedAt();
-    if (channel->isUsable() && freshness && age > *freshness)
+    ClientConnectionPointer clientConnection = idle.back();
+    const auto age =
+        std::chrono::steady_clock::now() - clientConnection->lastUsedAt();
+    if (clientConnection->isUsable() && maxIdleTime && age > *maxIdleTime)
       return nullptr;
     idle.pop_back();
-    if (channel->isUsable())
-      return channel;
+    if (clientConnection->isUsable())
+      return clientConnection;
   }
-  all.Idle.erase(it);
+  clientState.Idle.erase(it);
   return nullptr;
 }
 
@@ -385,51 +396,53 @@
 
 AsyncHttpClient::AsyncHttpClient(asio::io_context &loop,
                                  AsyncHttpClientSettings settings)
-    : All(std::make_shared<Shared>(loop, settings)) {}
+    : ClientState(std::make_shared<SharedState>(loop, settings)) {}
 
 AsyncHttpClient::~AsyncHttpClient() {
-  All->IsEnding = true;
-  for (const auto &[address, idle] : All->Idle)
-    for (const ChannelPointer &it : idle)
+  ClientState->IsEnding = true;
+  for (const auto &[address, idle] : ClientState->Idle)
+    for (const ClientConnectionPointer &it : idle)
       it->close();
-  All->Idle.clear();
+  ClientState->Idle.clear();
 }
 
 std::shared_ptr<HttpCallHandle>
 AsyncHttpClient::send(const std::string &address, const HttpCall &call,
-                      HttpCallHooks hooks, std::optional<Duration> freshness) {
-  ChannelPointer channel = takeIdle(*All, address, freshness);
-  if (channel) {
-    ++All->Counts.Reused;
+                      HttpCallHooks hooks,
+                      std::optional<Duration> maxIdleTime) {
+  ClientConnectionPointer clientConnection =
+      takeIdle(*ClientState, address, maxIdleTime);
+  if (clientConnection) {
+    ++ClientState->Counts.Reused;
   } else {
-    ++All->Counts.Opened;
-    channel = std::make_shared<Channel>(All, address);
+    ++ClientState->Counts.Opened;
+    clientConnection = std::make_shared<ClientConnection>(ClientState, address);
   }
-  auto handle = std::make_shared<Handle>(channel);
-  channel->start(call, std::move(hooks));
+  auto handle = std::make_shared<CallHandle>(clientConnection);
+  clientConnection->start(call, std::move(hooks));
   return handle;
 }
 
 std::size_t AsyncHttpClient::connections(const std::string &address) const {
-  const auto it = All->Open.find(address);
-  return it == All->Open.end() ? 0 : it->second;
+  const auto it = ClientState->ConnectionCounts.find(address);
+  return it == ClientState->ConnectionCounts.end() ? 0 : it->second;
 }
 
 bool AsyncHttpClient::hasIdle(const std::string &address) const {
-  const auto it = All->Idle.find(address);
-  return it != All->Idle.end() && !it->second.empty();
+  const auto it = ClientState->Idle.find(address);
+  return it != ClientState->Idle.end() && !it->second.empty();
 }
 
 void AsyncHttpClient::forget(const std::string &address) {
-  const auto it = All->Idle.find(address);
-  if (it == All->Idle.end())
+  const auto it = ClientState->Idle.find(address);
+  if (it == ClientState->Idle.end())
     return;
-  const std::vector<ChannelPointer> idle = std::move(it->second);
-  All->Idle.erase(it);
-  for (const ChannelPointer &channel : idle)
-    channel->close();
+  const std::vector<ClientConnectionPointer> idle = std::move(it->second);
+  ClientState->Idle.erase(it);
+  for (const ClientConnectionPointer &clientConnection : idle)
+    clientConnection->close();
 }
 
-HttpClientCounts AsyncHttpClient::counts() const { return All->Counts; }
+HttpClientCounts AsyncHttpClient::counts() const { return ClientState->Counts; }
 
 } // namespace sorrelbay
--- a/Libraries/LibHttp/AsyncHttpClient.h
+++ b/Libraries/LibHttp/AsyncHttpClient.h
@@ -15,70 +15,79 @@
 
 namespace sorrelbay {
 
-/// The start of an answer, as it came from the other side.
+/// The status and the header fields of a response.
 struct HttpReplyHead {
   int Status = 0;
   HttpHeaders Headers;
-  /// In bytes; without one the body comes in chunks or ends with its
-  /// connection.
+  /// The length of the body in bytes; empty if the body is chunked or ends when
+  /// the connection closes.
   std::optional<std::uint64_t> Length;
 };
 
-/// Why a call got no whole answer.
+/// Why a call received no complete response.
 enum class HttpFailure {
-  /// No byte left this host: the other side has run nothing.
+  /// No byte of the request left this host, so the server has not run it.
   NotSent,
-  /// The connection ended, or the answer can't be read, before its head came.
+  /// The connection closed or the response was malformed before its header was
+  /// complete.
   Broken,
-  /// The answer broke off after its head.
+  /// The response was cut off after its header.
   Truncated,
 };
 
-/// What happens to one call. All hooks run on the loop's thread, never from
-/// inside send().
+/// Callbacks for the progress of one call. All run on the event loop's thread
+/// and never from inside send().
 struct HttpCallHooks {
-  /// Whether the answer belongs to this call. One that doesn't is a late answer
-  /// to an earlier call; it is read over, and the next one awaited.
+  /// Returns whether the response belongs to this call. If not, it is a late
+  /// response to an earlier call: it is read to its end and discarded, and the
+  /// next response is awaited.
   std::function<bool(const HttpReplyHead &)> IsForThisCall;
   std::function<void(const HttpReplyHead &)> OnHead;
   std::function<void(std::string_view)> OnBody;
   std::function<void()> OnEnd;
   std::function<void(HttpFailure)> OnFailure;
-  /// The request's bytes are about to leave this host.
+  /// Called just before the request is written to the connection.
   std::function<void()> OnSending;
 };
 
-/// One call under way. Dropping it does not end the call.
+/// A handle to a call in flight. Destroying it does not cancel the call.
 class HttpCallHandle {
 public:
   virtual ~HttpCallHandle() = default;
-  /// Gives the call up: closes its connection at once, so that the other side
-  /// can stop working, and calls no hook any more.
+  /// Cancels the call: closes its connection at once, so that the server can
+  /// stop working on it. No hook runs afterwards.
   virtual void cancel() = 0;
-  /// Stops and goes on reading the answer, for a receiver that is slower.
+  /// Pauses reading the response, because its receiver is slower.
   virtual void pause() = 0;
+  /// Resumes reading the response.
   virtual void resume() = 0;
 };
 
 struct HttpClientCounts {
   std::uint64_t Opened = 0;
   std::uint64_t Reused = 0;
-  std::uint64_t LateAnswers = 0;
-  std::uint64_t ExtraBytes = 0;
+  /// Responses that belonged to an earlier call.
+  std::uint64_t LateResponses = 0;
+  /// Connections closed because they had input that belongs to no call, or were
+  /// closed by the server while idle.
+  std::uint64_t UnexpectedInput = 0;
 };
 
 struct AsyncHttpClientSettings {
+  /// The longest time to connect; beyond it the call fails with NotSent.
   Duration ConnectTimeout = milliseconds(500);
-  /// How long a quiet connection is kept for the next call.
+  /// The longest time that an idle connection is kept for reuse before it is
+  /// closed. A shorter timeout announced by the server takes precedence.
   Duration KeepAliveTimeout = seconds(4);
-  /// The longest answer head, in bytes.
+  /// The largest response header in bytes; beyond it the call fails with
+  /// Broken.
   std::size_t MaxHeadBytes = 32UL * 1024;
 };
 
-/// An HTTP/1.1 client on an event loop that others share, with kept
-/// connections by address. A connection is used again only after a whole
-/// answer with not a byte more: whatever else is on it belongs to no call. All
-/// of it belongs to the loop's thread.
+/// An HTTP/1.1 client on a shared event loop that keeps idle connections by
+/// address. A connection is reused only after a complete response with no
+/// further input, because further input belongs to no call. All members are
+/// used on the loop's thread only.
 class AsyncHttpClient {
 public:
   AsyncHttpClient(boost::asio::io_context &loop,
@@ -88,25 +97,25 @@
   AsyncHttpClient &operator=(const AsyncHttpClient &) = delete;
 
   /// Sends the call to "ip:port". The call's ConnectTimeout and ReadTimeout are
-  /// not used: who calls has a deadline and cancels. A call that must not be
-  /// lost to a connection that the other side has just dropped asks for a fresh
-  /// one, or for one that was in use at most that long ago.
-  std::shared_ptr<HttpCallHandle> send(const std::string &address,
-                                       const HttpCall &call,
-                                       HttpCallHooks hooks,
-                                       std::optional<Duration> freshness = {});
-  /// Connections to the address, in use and kept.
+  /// ignored: the caller has a deadline and cancels. With maxIdleTime only a
+  /// connection used within that time is reused, and a new one is opened
+  /// otherwise; this is for calls that must not be lost because the server has
+  /// just closed an idle connection.
+  std::shared_ptr<HttpCallHandle>
+  send(const std::string &address, const HttpCall &call, HttpCallHooks hooks,
+       std::optional<Duration> maxIdleTime = {});
+  /// The number of connections to the address, active and idle.
   std::size_t connections(const std::string &address) const;
-  /// Whether a kept connection to the address waits for a call.
+  /// Whether there is an idle connection to the address.
   bool hasIdle(const std::string &address) const;
-  /// Closes the kept connections to an address that is no longer used.
+  /// Closes the idle connections to an address that is no longer used.
   void forget(const std::string &address);
   HttpClientCounts counts() const;
 
-  struct Shared;
+  struct SharedState;
 
 private:
-  std::shared_ptr<Shared> All;
+  std::shared_ptr<SharedState> ClientState;
 };
 
 } // namespace sorrelbay
--- a/Libraries/LibHttp/AsyncHttpServer.cpp
+++ b/Libraries/LibHttp/AsyncHttpServer.cpp
@@ -14,14 +14,15 @@
 constexpr int ListenBacklog = 1024;
 constexpr std::size_t FirstReadBytes = 4096;
 constexpr Duration AcceptRetryDelay = milliseconds(50);
-/// How long an answer to a request that can't be read may take to be sent.
+/// The longest time to send the response to a malformed request, and to wait
+/// for a client to close the connection after its last response.
 constexpr Duration RefusalTimeout = seconds(1);
 
 } // namespace
 
-struct AsyncHttpServer::Shared
-    : public std::enable_shared_from_this<AsyncHttpServer::Shared> {
-  Shared(asio::io_context &loop, AsyncHttpServerHooks hooks)
+struct AsyncHttpServer::SharedState
+    : public std::enable_shared_from_this<AsyncHttpServer::SharedState> {
+  SharedState(asio::io_context &loop, AsyncHttpServerHooks hooks)
       : Loop(loop), Acceptor(loop), RetryTimer(loop), Hooks(std::move(hooks)) {}
 
   void accept();
@@ -33,23 +34,24 @@
   std::set<std::shared_ptr<Connection>> Connections;
   std::size_t OpenRequests = 0;
   bool IsClosing = false;
-  Duration QuietWhileClosing{};
+  Duration IdleTimeoutWhileClosing{};
 };
 
 namespace {
 
-using Shared = AsyncHttpServer::Shared;
+using SharedState = AsyncHttpServer::SharedState;
 using RequestParser = http::request_parser<http::string_body>;
 
-/// One client's connection, and the exchange that is under way on it. It keeps
-/// itself alive through the operations that are pending.
+/// A client's connection and the exchange in flight on it. Pending operations
+/// hold references that keep it alive.
 class Connection : public std::enable_shared_from_this<Connection> {
 public:
-  Connection(std::shared_ptr<Shared> all, Tcp::socket socket)
-      : All(std::move(all)), Socket(std::move(socket)), Timer(All->Loop) {}
+  Connection(std::shared_ptr<SharedState> serverState, Tcp::socket socket)
+      : ServerState(std::move(serverState)), Socket(std::move(socket)),
+        Timer(ServerState->Loop) {}
 
   void readNext();
-  void closeIfQuiet();
+  void closeWhenIdle();
   void close();
 
   // Called by the exchange.
@@ -58,27 +60,31 @@
              std::optional<std::uint64_t> length);
   void write(std::string_view bytes);
   void end();
-  std::size_t queuedBytes() const { return Waiting.size() + Sending.size(); }
+  std::size_t queuedBytes() const {
+    return QueuedOutput.size() + OutputInFlight.size();
+  }
 
-  std::function<void()> Gone;
-  std::function<void()> Drained;
+  std::function<void()> DisconnectHook;
+  std::function<void()> DrainHook;
 
 private:
   void startTimer(Duration limit);
   void readHeader();
   void readBody();
-  void takeRequest();
+  void handleRequest();
   void refuse(http::status status);
-  void watchClient();
-  void clientMayHaveLeft();
-  void clientHasLeft();
+  void watchForDisconnect();
+  void checkDisconnect();
+  void handleDisconnect();
   template <typename Message>
   void fillHeader(Message &message, int status, const HttpHeaders &headers);
   void flush();
-  void answerEnded();
-  bool endsAfterAnswer() const { return !KeepsAlive || All->IsClosing; }
+  void onResponseSent();
+  bool closesAfterResponse() const {
+    return !KeepsAlive || ServerState->IsClosing;
+  }
 
-  std::shared_ptr<Shared> All;
+  std::shared_ptr<SharedState> ServerState;
   Tcp::socket Socket;
   asio::steady_timer Timer;
   boost::beast::flat_buffer Buffer;
@@ -89,79 +95,81 @@
   bool IsHead = false;
   bool IsChunked = false;
   bool HasEnded = false;
-  bool ClosesAfterAnswer = false;
+  bool ClosesAfterResponse = false;
   bool IsWatching = false;
   bool IsWriting = false;
   bool IsClosed = false;
-  /// Bytes of the answer as they go on the wire, framing included.
-  std::string Waiting;
-  std::string Sending;
+  /// Bytes of the response in wire format, framing included: those queued, and
+  /// those being written.
+  std::string QueuedOutput;
+  std::string OutputInFlight;
 };
 
-/// What the handler holds; it outlives the connection where it must.
+/// The exchange as the handler holds it; it may outlive the connection.
 class Exchange : public HttpExchange {
 public:
   Exchange(std::shared_ptr<Connection> connection, HttpRequest request)
-      : On(std::move(connection)), Read(std::move(request)) {}
+      : HeldConnection(std::move(connection)),
+        ParsedRequest(std::move(request)) {}
   ~Exchange() override {
-    // An exchange that is dropped unanswered would hold its client forever.
-    if (On && !IsDone)
-      On->close();
+    // Without a response the client would wait indefinitely.
+    if (HeldConnection && !IsDone)
+      HeldConnection->close();
   }
   Exchange(const Exchange &) = delete;
   Exchange &operator=(const Exchange &) = delete;
 
-  const HttpRequest &request() const override { return Read; }
+  const HttpRequest &request() const override { return ParsedRequest; }
   void respond(int status, const HttpHeaders &headers,
                std::string body) override {
-    if (!On)
+    if (!HeldConnection)
       return;
-    const auto on = release();
-    on->respond(status, headers, body);
+    const auto heldConnection = release();
+    heldConnection->respond(status, headers, body);
   }
   void begin(int status, const HttpHeaders &headers,
              std::optional<std::uint64_t> length) override {
-    if (On)
-      On->begin(status, headers, length);
+    if (HeldConnection)
+      HeldConnection->begin(status, headers, length);
   }
   void write(std::string_view bytes) override {
-    if (On)
-      On->write(bytes);
+    if (HeldConnection)
+      HeldConnection->write(bytes);
   }
   void end() override {
-    if (!On)
+    if (!HeldConnection)
       return;
-    const auto on = release();
-    on->end();
+    const auto heldConnection = release();
+    heldConnection->end();
   }
   void abort() override {
-    if (!On)
+    if (!HeldConnection)
       return;
-    const auto on = release();
-    on->close();
+    const auto heldConnection = release();
+    heldConnection->close();
   }
   std::size_t queuedBytes() const override {
-    return On ? On->queuedBytes() : 0;
+    return HeldConnection ? HeldConnection->queuedBytes() : 0;
   }
   void onClientDisconnected(std::function<void()> hook) override {
-    if (On)
-      On->Gone = std::move(hook);
+    if (HeldConnection)
+      HeldConnection->DisconnectHook = std::move(hook);
   }
   void onDrained(std::function<void()> hook) override {
-    if (On)
-      On->Drained = std::move(hook);
+    if (HeldConnection)
+      HeldConnection->DrainHook = std::move(hook);
   }
 
 private:
   std::shared_ptr<Connection> release() {
     IsDone = true;
-    On->Gone = nullptr;
-    On->Drained = nullptr;
-    return std::move(On);
+    HeldConnection->DisconnectHook = nullptr;
+    HeldConnection->DrainHook = nullptr;
+    return std::move(HeldConnection);
   }
 
-  std::shared_ptr<Connection> On;
-  HttpRequest Read;
+  std::shared_ptr<Connection> HeldConnection;
+  HttpRequest ParsedRequest;
   bool IsDone = false;
 };
 
@@ -179,26 +187,27 @@
   IsClosed = true;
   if (HasRequest) {
     HasRequest = false;
-    --All->OpenRequests;
+    --ServerState->OpenRequests;
   }
   ErrorCode ignored;
   Timer.cancel(ignored);
   Socket.close(ignored);
-  All->Connections.erase(shared_from_this());
+  ServerState->Connections.erase(shared_from_this());
 }
 
-void Connection::closeIfQuiet() {
+void Connection::closeWhenIdle() {
   if (!HasRequest && !IsClosed)
-    startTimer(All->QuietWhileClosing);
+    startTimer(ServerState->IdleTimeoutWhileClosing);
 }
 
 void Connection::readNext() {
-  Limits = All->Hooks.Limits();
+  Limits = ServerState->Hooks.Limits();
   Parser.emplace();
   Parser->header_limit(static_cast<std::uint32_t>(Limits.MaxHeaderBytes));
   Parser->body_limit(Limits.MaxBodyBytes);
   if (Buffer.size() == 0) {
-    startTimer(All->IsClosing ? All->QuietWhileClosing : Limits.IdleTimeout);
+    startTimer(ServerState->IsClosing ? ServerState->IdleTimeoutWhileClosing
+                                      : Limits.IdleTimeout);
     Socket.async_read_some(
         Buffer.prepare(FirstReadBytes),
         [self = shared_from_this()](ErrorCode ec, std::size_t n) {
@@ -239,13 +248,13 @@
 
 void Connection::readBody() {
   if (Parser->is_done())
-    return takeRequest();
+    return handleRequest();
   startTimer(Limits.ReadTimeout);
   const auto expect = Parser->get().find(http::field::expect);
   if (expect != Parser->get().end()) {
-    static const std::string goOn = "HTTP/1.1 100 Continue\r\n\r\n";
+    static const std::string continueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
     ErrorCode ignored;
-    asio::write(Socket, asio::buffer(goOn), ignored);
+    asio::write(Socket, asio::buffer(continueResponse), ignored);
   }
   http::async_read(Socket, Buffer, *Parser,
                    [self = shared_from_this()](ErrorCode ec, std::size_t) {
@@ -255,19 +264,19 @@
                        return self->refuse(http::status::payload_too_large);
                      if (ec)
                        return self->close();
-                     self->takeRequest();
+                     self->handleRequest();
                    });
 }
 
 void Connection::refuse(http::status status) {
   KeepsAlive = false;
   HasRequest = true;
-  ++All->OpenRequests;
+  ++ServerState->OpenRequests;
   startTimer(RefusalTimeout);
   respond(static_cast<int>(status), {}, "");
 }
 
-void Connection::takeRequest() {
+void Connection::handleRequest() {
   ErrorCode ignored;
   Timer.cancel(ignored);
   auto message = Parser->release();
@@ -276,21 +285,22 @@
   IsHead = message.method() == http::verb::head;
   HasRequest = true;
   HasEnded = false;
-  ++All->OpenRequests;
+  ++ServerState->OpenRequests;
   HttpRequest request;
   request.Method = std::string(message.method_string());
   request.Path = std::string(message.target());
   request.Headers = headersOf(message);
   request.Body = std::move(message.body());
   const auto self = shared_from_this();
-  watchClient();
-  All->Hooks.Handle(std::make_shared<Exchange>(self, std::move(request)));
+  watchForDisconnect();
+  ServerState->Hooks.Handle(
+      std::make_shared<Exchange>(self, std::move(request)));
 }
 
-/// A client that leaves while its call is at an upstream shows only as the end
-/// of what it sends; bytes that come instead are its next request, which stays
-/// unread until this one has its answer.
-void Connection::watchClient() {
+/// A client that disconnects while its call is at an upstream is detected only
+/// by the end of its input. Any bytes are its next request, which is not read
+/// until the response to the current one has been sent.
+void Connection::watchForDisconnect() {
   if (IsWatching || Buffer.size() != 0)
     return;
   IsWatching = true;
@@ -298,29 +308,29 @@
                     [self = shared_from_this()](ErrorCode ec) {
                       self->IsWatching = false;
                       if (!ec && self->HasRequest)
-                        self->clientMayHaveLeft();
+                        self->checkDisconnect();
                     });
 }
 
-void Connection::clientMayHaveLeft() {
+void Connection::checkDisconnect() {
   char byte = 0;
   const ssize_t n =
       ::recv(Socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   if (n > 0)
     return;
   if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR))
-    return watchClient();
-  clientHasLeft();
+    return watchForDisconnect();
+  handleDisconnect();
 }
 
-void Connection::clientHasLeft() {
+void Connection::handleDisconnect() {
   const auto self = shared_from_this();
-  auto gone = std::move(Gone);
-  Gone = nullptr;
-  Drained = nullptr;
+  auto disconnectHook = std::move(DisconnectHook);
+  DisconnectHook = nullptr;
+  DrainHook = nullptr;
   close();
-  if (gone)
-    gone();
+  if (disconnectHook)
+    disconnectHook();
 }
 
 template <typename Message>
@@ -330,13 +340,14 @@
   message.result(static_cast<unsigned>(status));
   for (const HttpHeader &it : headers)
     message.insert(it.Name, it.Value);
-  // Decided once, so that the header and what follows it agree.
-  ClosesAfterAnswer = endsAfterAnswer();
-  if (ClosesAfterAnswer)
+  // Decided once, so that the Connection header and the handling after the
+  // response agree.
+  ClosesAfterResponse = closesAfterResponse();
+  if (ClosesAfterResponse)
     message.set(http::field::connection, "close");
 }
 
-/// The header as it goes on the wire.
+/// The response header in wire format.
 template <typename Message> std::string headerText(const Message &message) {
   std::string out = "HTTP/1.1 ";
   out += std::to_string(message.result_int());
@@ -361,9 +372,9 @@
   fillHeader(message, status, headers);
   if (status != 204 && status != 304)
     message.content_length(body.size());
-  Waiting += headerText(message);
+  QueuedOutput += headerText(message);
   if (!IsHead)
-    Waiting += body;
+    QueuedOutput += body;
   HasEnded = true;
   flush();
 }
@@ -379,7 +390,7 @@
     message.content_length(*length);
   else
     message.chunked(true);
-  Waiting += headerText(message);
+  QueuedOutput += headerText(message);
   flush();
 }
 
@@ -389,11 +400,11 @@
   if (IsChunked) {
     char size[24];
     const int n = std::snprintf(size, sizeof(size), "%zx\r\n", bytes.size());
-    Waiting.append(size, static_cast<std::size_t>(n));
+    QueuedOutput.append(size, static_cast<std::size_t>(n));
   }
-  Waiting.append(bytes);
+  QueuedOutput.append(bytes);
   if (IsChunked)
-    Waiting += "\r\n";
+    QueuedOutput += "\r\n";
   flush();
 }
 
@@ -401,43 +412,44 @@
   if (IsClosed)
     return;
   if (IsChunked && !IsHead)
-    Waiting += "0\r\n\r\n";
+    QueuedOutput += "0\r\n\r\n";
   IsChunked = false;
   HasEnded = true;
   flush();
 }
 
 void Connection::flush() {
-  if (IsWriting || IsClosed || Waiting.empty())
+  if (IsWriting || IsClosed || QueuedOutput.empty())
     return;
   IsWriting = true;
-  Sending.swap(Waiting);
-  asio::async_write(Socket, asio::buffer(Sending),
+  OutputInFlight.swap(QueuedOutput);
+  asio::async_write(Socket, asio::buffer(OutputInFlight),
                     [self = shared_from_this()](ErrorCode ec, std::size_t) {
                       self->IsWriting = false;
-                      self->Sending.clear();
+                      self->OutputInFlight.clear();
                       if (self->IsClosed)
                         return;
                       if (ec)
-                        return self->clientHasLeft();
-                      if (!self->Waiting.empty())
+                        return self->handleDisconnect();
+                      if (!self->QueuedOutput.empty())
                         return self->flush();
                       if (self->HasEnded)
-                        return self->answerEnded();
-                      if (self->Drained)
-                        self->Drained();
+                        return self->onResponseSent();
+                      if (self->DrainHook)
+                        self->DrainHook();
                     });
 }
 
-void Connection::answerEnded() {
+void Connection::onResponseSent() {
   HasRequest = false;
   HasEnded = false;
-  --All->OpenRequests;
-  if (!ClosesAfterAnswer)
+  --ServerState->OpenRequests;
+  if (!ClosesAfterResponse)
     return readNext();
-  // Closing with bytes unread resets the connection, and the reset can destroy
-  // the answer on its way; so only our side is closed, and the client's rest is
-  // read until it closes too.
+  // Closing a socket with unread input resets the connection, and the reset can
+  // discard a response in transit. So only the sending side is closed, and the
+  // socket after one more read, which receives the rest of the input or the end
+  // of it.
   ErrorCode ignored;
   Socket.shutdown(Tcp::socket::shutdown_send, ignored);
   startTimer(RefusalTimeout);
@@ -449,13 +461,14 @@
 
 } // namespace
 
-void AsyncHttpServer::Shared::accept() {
+void AsyncHttpServer::SharedState::accept() {
   Acceptor.async_accept(
       [self = shared_from_this()](ErrorCode ec, Tcp::socket socket) {
         if (ec == asio::error::operation_aborted)
           return;
         if (ec) {
-          // Out of descriptors, mostly: a tight loop would eat the processor.
+          // Usually the process is out of file descriptors; an immediate retry
+          // would keep a processor busy.
           self->RetryTimer.expires_after(AcceptRetryDelay);
           self->RetryTimer.async_wait([self](ErrorCode failed) {
             if (!failed)
@@ -474,44 +487,46 @@
 AsyncHttpServer::AsyncHttpServer(asio::io_context &loop,
                                  const std::string &listen,
                                  AsyncHttpServerHooks hooks)
-    : All(std::make_shared<Shared>(loop, std::move(hooks))) {
+    : ServerState(std::make_shared<SharedState>(loop, std::move(hooks))) {
   try {
     const Tcp::endpoint endpoint = endpointOf(listen);
-    All->Acceptor.open(endpoint.protocol());
-    All->Acceptor.set_option(asio::socket_base::reuse_address(true));
-    All->Acceptor.bind(endpoint);
-    All->Acceptor.listen(ListenBacklog);
+    ServerState->Acceptor.open(endpoint.protocol());
+    ServerState->Acceptor.set_option(asio::socket_base::reuse_address(true));
+    ServerState->Acceptor.bind(endpoint);
+    ServerState->Acceptor.listen(ListenBacklog);
   } catch (const std::exception &error) {
-    throw HttpListenFailed(listen + ": can't listen: " + error.what());
+    throw HttpListenFailed(listen + ": cannot listen: " + error.what());
   }
-  All->accept();
+  ServerState->accept();
 }
 
 AsyncHttpServer::~AsyncHttpServer() {
   ErrorCode ignored;
-  All->Acceptor.close(ignored);
-  const auto connections = All->Connections;
+  ServerState->Acceptor.close(ignored);
+  const auto connections = ServerState->Connections;
   for (const auto &it : connections)
     it->close();
 }
 
 std::string AsyncHttpServer::address() const {
-  const Tcp::endpoint endpoint = All->Acceptor.local_endpoint();
+  const Tcp::endpoint endpoint = ServerState->Acceptor.local_endpoint();
   return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
 
-void AsyncHttpServer::beginClosing(Duration quiet) {
-  All->IsClosing = true;
-  All->QuietWhileClosing = quiet;
-  const auto connections = All->Connections;
+void AsyncHttpServer::beginClosing(Duration idleLimit) {
+  ServerState->IsClosing = true;
+  ServerState->IdleTimeoutWhileClosing = idleLimit;
+  const auto connections = ServerState->Connections;
   for (const auto &it : connections)
-    it->closeIfQuiet();
+    it->closeWhenIdle();
 }
 
-std::size_t AsyncHttpServer::openRequests() const { return All->OpenRequests; }
+std::size_t AsyncHttpServer::openRequests() const {
+  return ServerState->OpenRequests;
+}
 
 std::size_t AsyncHttpServer::connections() const {
-  return All->Connections.size();
+  return ServerState->Connections.size();
 }
 
 } // namespace sorrelbay
--- a/Libraries/LibHttp/BeastCommon.cpp
+++ b/Libraries/LibHttp/BeastCommon.cpp
@@ -4,33 +4,33 @@
 
 namespace sorrelbay::beastcommon {
 
-static constexpr int SilenceLimitMs = 2000;
+static constexpr int UnackedDataTimeoutMs = 2000;
 static constexpr int ProbeIdleSeconds = 2;
-static constexpr int ProbeGapSeconds = 1;
+static constexpr int ProbeIntervalSeconds = 1;
 static constexpr int ProbeCount = 2;
 
 Tcp::endpoint endpointOf(const std::string &address) {
   const std::size_t colon = address.rfind(':');
   if (colon == std::string::npos)
-    throw std::invalid_argument("no port in " + address);
+    throw std::invalid_argument("missing port in address: " + address);
   const int port = std::stoi(address.substr(colon + 1));
   if (port < 0 || port > 65535)
-    throw std::invalid_argument("no port in " + address);
+    throw std::invalid_argument("port is not within 0 to 65535: " + address);
   return {asio::ip::make_address(address.substr(0, colon)),
           static_cast<std::uint16_t>(port)};
 }
 
-static void set(Tcp::socket &socket, int level, int name, int value) {
+static void setOption(Tcp::socket &socket, int level, int name, int value) {
   ::setsockopt(socket.native_handle(), level, name, &value, sizeof(value));
 }
 
 void configureSocket(Tcp::socket &socket) {
-  set(socket, IPPROTO_TCP, TCP_NODELAY, 1);
-  set(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, SilenceLimitMs);
-  set(socket, SOL_SOCKET, SO_KEEPALIVE, 1);
-  set(socket, IPPROTO_TCP, TCP_KEEPIDLE, ProbeIdleSeconds);
-  set(socket, IPPROTO_TCP, TCP_KEEPINTVL, ProbeGapSeconds);
-  set(socket, IPPROTO_TCP, TCP_KEEPCNT, ProbeCount);
+  setOption(socket, IPPROTO_TCP, TCP_NODELAY, 1);
+  setOption(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, UnackedDataTimeoutMs);
+  setOption(socket, SOL_SOCKET, SO_KEEPALIVE, 1);
+  setOption(socket, IPPROTO_TCP, TCP_KEEPIDLE, ProbeIdleSeconds);
+  setOption(socket, IPPROTO_TCP, TCP_KEEPINTVL, ProbeIntervalSeconds);
+  setOption(socket, IPPROTO_TCP, TCP_KEEPCNT, ProbeCount);
 }
 
 } // namespace sorrelbay::beastcommon
--- a/Libraries/LibHttp/BeastCommon.h
+++ b/Libraries/LibHttp/BeastCommon.h
@@ -13,15 +13,15 @@
 using Tcp = asio::ip::tcp;
 using ErrorCode = boost::system::error_code;
 
-/// "ip:port" as an endpoint. Throws std::exception when it isn't one.
+/// Parses "ip:port". Throws std::exception if it is malformed.
 Tcp::endpoint endpointOf(const std::string &address);
 
-/// Small answers must not wait for more, and a peer that has gone silent must
-/// be noticed: unacknowledged bytes and unanswered probes end the connection
-/// after two seconds, where it would otherwise hang for minutes.
+/// Disables the delay of small writes, and bounds the time to detect a silent
+/// peer: unacknowledged bytes and unanswered keep-alive probes close the
+/// connection after two seconds, instead of minutes by default.
 void configureSocket(Tcp::socket &socket);
 
-/// Copies all header fields of a message that was read.
+/// Copies all header fields of a received message.
 template <typename Fields> HttpHeaders headersOf(const Fields &fields) {
   HttpHeaders out;
   for (const auto &field : fields)
--- a/Libraries/LibHttp/GrowingWorkerPool.cpp
+++ b/Libraries/LibHttp/GrowingWorkerPool.cpp
@@ -33,14 +33,14 @@
 }
 
 void GrowingWorkerPool::shutdown() {
-  std::vector<std::thread> leaving;
+  std::vector<std::thread> stoppedWorkers;
   {
     const std::lock_guard<std::mutex> lock(Mutex);
     IsShuttingDown = true;
-    leaving.swap(Workers);
+    stoppedWorkers.swap(Workers);
   }
   Changed.notify_all();
-  for (std::thread &it : leaving)
+  for (std::thread &it : stoppedWorkers)
     it.join();
 }
 
--- a/Libraries/LibHttp/GrowingWorkerPool.h
+++ b/Libraries/LibHttp/GrowingWorkerPool.h
@@ -10,9 +10,9 @@
 
 namespace sorrelbay {
 
-/// A pool of workers that starts a thread only when all others are busy, up to
-/// a limit, so that a daemon with few open streams stays small. Work past the
-/// limit waits in order.
+/// A pool of worker threads that starts a thread only when all others are busy,
+/// up to a limit, so that a daemon with few open streams has few threads.
+/// Beyond the limit, work is queued and runs in order.
 class GrowingWorkerPool {
 public:
   explicit GrowingWorkerPool(std::size_t limit);
@@ -21,7 +21,7 @@
   GrowingWorkerPool &operator=(const GrowingWorkerPool &) = delete;
 
   void enqueue(std::function<void()> work);
-  /// Runs what is queued to its end and joins all workers.
+  /// Runs all queued work to its end and joins the workers.
   void shutdown();
 
 private:
--- a/Libraries/LibHttp/HttpClient.cpp
+++ b/Libraries/LibHttp/HttpClient.cpp
@@ -12,7 +12,7 @@
                                            bool keepAlive) {
   const std::size_t colon = address.rfind(':');
   if (colon == std::string::npos)
-    throw HttpNotSent("not an address: " + address);
+    throw HttpNotSent("expected an address as ip:port, got: " + address);
   const std::string host = address.substr(0, colon);
   const int port = std::atoi(address.c_str() + colon + 1);
   auto client = std::make_unique<httplib::Client>(host, port);
@@ -84,7 +84,7 @@
 HttpPool::~HttpPool() = default;
 
 std::unique_ptr<HttpPool::Connection>
-HttpPool::take(const std::string &address) {
+HttpPool::acquireConnection(const std::string &address) {
   const std::lock_guard<std::mutex> lock(Mutex);
   auto &idle = Idle[address];
   if (idle.empty())
@@ -94,8 +94,8 @@
   return it;
 }
 
-void HttpPool::giveBack(const std::string &address,
-                        std::unique_ptr<Connection> it) {
+void HttpPool::releaseConnection(const std::string &address,
+                                 std::unique_ptr<Connection> it) {
   const std::lock_guard<std::mutex> lock(Mutex);
   auto &idle = Idle[address];
   if (idle.size() < MaxIdlePerAddress)
@@ -103,21 +103,21 @@
 }
 
 HttpReply HttpPool::send(const std::string &address, const HttpCall &call) {
-  auto pooled = take(address);
+  auto pooled = acquireConnection(address);
   if (pooled) {
     try {
       HttpReply reply = sendOver(*pooled->Client, call);
-      giveBack(address, std::move(pooled));
+      releaseConnection(address, std::move(pooled));
       return reply;
     } catch (const HttpOutcomeUnknown &) {
-      // The pooled connection was closed or lost in between; a new one may
-      // work at once.
+      // The pooled connection was closed or lost while idle; a new one may work
+      // at once.
     }
   }
   auto fresh = std::make_unique<Connection>();
   fresh->Client = connectTo(address, true);
   HttpReply reply = sendOver(*fresh->Client, call);
-  giveBack(address, std::move(fresh));
+  releaseConnection(address, std::move(fresh));
   return reply;
 }
 
@@ -127,38 +127,39 @@
 };
 
 HttpStream::HttpStream(const std::string &address, HttpCall call)
-    : Line(std::make_unique<Connection>()), Call(std::move(call)) {
-  Line->Client = connectTo(address, false);
+    : StreamConnection(std::make_unique<Connection>()), Call(std::move(call)) {
+  StreamConnection->Client = connectTo(address, false);
 }
 
 HttpStream::~HttpStream() = default;
 
 void HttpStream::cancel() {
-  Line->IsCancelled = true;
-  Line->Client->stop();
+  StreamConnection->IsCancelled = true;
+  StreamConnection->Client->stop();
 }
 
 bool HttpStream::run(const OnReply &onReply, const OnData &onData) {
-  setTimeouts(*Line->Client, Call);
+  setTimeouts(*StreamConnection->Client, Call);
   httplib::Request request = toRequest(Call);
-  bool wasEnded = false;
+  bool wasStopped = false;
   request.response_handler = [&](const httplib::Response &response) {
-    wasEnded = Line->IsCancelled || !onReply(toReply(response));
-    return !wasEnded;
+    wasStopped = StreamConnection->IsCancelled || !onReply(toReply(response));
+    return !wasStopped;
   };
   request.content_receiver = [&](const char *data, std::size_t n, std::uint64_t,
                                  std::uint64_t) {
-    wasEnded = Line->IsCancelled || !onData(std::string_view(data, n));
-    return !wasEnded;
+    wasStopped =
+        StreamConnection->IsCancelled || !onData(std::string_view(data, n));
+    return !wasStopped;
   };
   httplib::Response response;
   auto error = httplib::Error::Success;
-  if (Line->IsCancelled)
+  if (StreamConnection->IsCancelled)
     return false;
-  const bool isWhole = Line->Client->send(request, response, error);
-  if (isWhole && !wasEnded)
+  const bool isWhole = StreamConnection->Client->send(request, response, error);
+  if (isWhole && !wasStopped)
     return true;
-  if (wasEnded || Line->IsCancelled)
+  if (wasStopped || StreamConnection->IsCancelled)
     return false;
   throwFailure(Call.Method + " " + Call.Path, error);
 }
--- a/Libraries/LibHttp/HttpClient.h
+++ b/Libraries/LibHttp/HttpClient.h
@@ -9,13 +9,14 @@
 
 namespace sorrelbay {
 
-/// Sends one call over a connection of its own and waits for the whole answer.
-/// The address is "ip:port". Throws HttpNotSent or HttpOutcomeUnknown. Calls
-/// that may not be repeated go this way: a pooled connection may have gone
-/// silent, and a call written to it can't be told from one that ran.
+/// Sends one call over a connection of its own and waits for the complete
+/// response. The address is "ip:port". Throws HttpNotSent or
+/// HttpOutcomeUnknown. Calls that must not be repeated use this function: the
+/// peer of a pooled connection may have become unreachable, and a call written
+/// to it cannot be distinguished from one that ran.
 HttpReply sendOnce(const std::string &address, const HttpCall &call);
 
-/// Connections that are kept open between calls, for calls that may be
+/// A pool of connections kept open between calls, for calls that may be
 /// repeated. Thread-safe; each connection serves one call at a time.
 class HttpPool {
 public:
@@ -24,20 +25,21 @@
   HttpPool(const HttpPool &) = delete;
   HttpPool &operator=(const HttpPool &) = delete;
 
-  /// As sendOnce, but a connection that fails is replaced and the call sent
-  /// once more. The call must be repeatable.
+  /// Like sendOnce, but if a pooled connection fails, the call is sent once
+  /// more over a new one. The call must be repeatable.
   HttpReply send(const std::string &address, const HttpCall &call);
 
 private:
   struct Connection;
-  std::unique_ptr<Connection> take(const std::string &address);
-  void giveBack(const std::string &address, std::unique_ptr<Connection> it);
+  std::unique_ptr<Connection> acquireConnection(const std::string &address);
+  void releaseConnection(const std::string &address,
+                         std::unique_ptr<Connection> it);
 
   std::mutex Mutex;
   std::map<std::string, std::vector<std::unique_ptr<Connection>>> Idle;
 };
 
-/// One call whose answer is read as it comes.
+/// A call whose response body is received as a stream.
 class HttpStream {
 public:
   HttpStream(const std::string &address, HttpCall call);
@@ -45,20 +47,21 @@
   HttpStream(const HttpStream &) = delete;
   HttpStream &operator=(const HttpStream &) = delete;
 
-  /// Called with the status and headers; false ends the stream.
+  /// Called with the status and headers; returns false to stop the stream.
   using OnReply = std::function<bool(const HttpReply &)>;
-  /// Called with each piece of the body; false ends the stream.
+  /// Called with each part of the body; returns false to stop the stream.
   using OnData = std::function<bool(std::string_view)>;
 
-  /// Runs the call to its end. Returns true if the body was whole, false if a
-  /// hook or cancel() ended it. Throws HttpNotSent or HttpOutcomeUnknown.
+  /// Runs the call to its end. Returns true if the body is complete, false if a
+  /// hook or cancel() stopped the stream. Throws HttpNotSent or
+  /// HttpOutcomeUnknown.
   bool run(const OnReply &onReply, const OnData &onData);
-  /// Ends a running stream soon, from any thread; may come before run().
+  /// Stops a running stream, from any thread; may be called before run().
   void cancel();
 
 private:
   struct Connection;
-  std::unique_ptr<Connection> Line;
+  std::unique_ptr<Connection> StreamConnection;
   HttpCall Call;
 };
 
--- a/Libraries/LibHttp/HttpExchange.h
+++ b/Libraries/LibHttp/HttpExchange.h
@@ -9,33 +9,34 @@
 
 namespace sorrelbay {
 
-/// One request that an AsyncHttpServer has read whole, and the way to answer
-/// it. Everything here belongs to the thread of the event loop. An answer is
-/// either whole (respond) or begun, written in parts and ended; abort() cuts
-/// the connection so that the client can tell that the answer isn't whole.
+/// A request that an AsyncHttpServer has read completely, and the means to
+/// respond to it. Used on the thread of the event loop only. A response is
+/// either sent whole (respond) or begun, written in parts and ended; abort()
+/// closes the connection so that the client detects an incomplete response.
 class HttpExchange {
 public:
   virtual ~HttpExchange() = default;
 
   virtual const HttpRequest &request() const = 0;
-  /// Answers with a whole body. The body's length is sent with it.
+  /// Sends a whole response with its Content-Length.
   virtual void respond(int status, const HttpHeaders &headers,
                        std::string body) = 0;
-  /// Begins an answer of that length in bytes; without one it is sent in
-  /// chunks.
+  /// Begins a response whose body has the given length in bytes; without a
+  /// length it is sent in chunks.
   virtual void begin(int status, const HttpHeaders &headers,
                      std::optional<std::uint64_t> length) = 0;
-  /// Adds bytes to the answer that was begun.
+  /// Adds bytes to the body of a response that was begun.
   virtual void write(std::string_view bytes) = 0;
-  /// Ends the answer that was begun, so that it looks complete.
+  /// Ends a response that was begun, so that it is complete.
   virtual void end() = 0;
-  /// Cuts the connection.
+  /// Closes the connection.
   virtual void abort() = 0;
-  /// Bytes that wait to be sent, because the client reads slowly.
+  /// The number of bytes queued for sending, because the client reads slowly.
   virtual std::size_t queuedBytes() const = 0;
-  /// Called once if the client leaves before the answer has ended.
+  /// Sets a hook that is called once if the client disconnects before the
+  /// response has ended.
   virtual void onClientDisconnected(std::function<void()> hook) = 0;
-  /// Called each time the bytes that waited have been sent.
+  /// Sets a hook that is called each time all queued bytes have been sent.
   virtual void onDrained(std::function<void()> hook) = 0;
 };
 
--- a/Libraries/LibHttp/HttpMessage.h
+++ b/Libraries/LibHttp/HttpMessage.h
@@ -9,7 +9,7 @@
 
 namespace sorrelbay {
 
-/// One header field; names compare without regard to case.
+/// A header field; names are compared without regard to case.
 struct HttpHeader {
   std::string Name;
   std::string Value;
@@ -17,27 +17,27 @@
 
 using HttpHeaders = std::vector<HttpHeader>;
 
-/// The value of the first header of that name, or the empty string.
+/// The value of the first header field with that name, or the empty string.
 std::string headerValue(const HttpHeaders &headers, std::string_view name);
 
-/// Whether there is a header of that name.
+/// Whether there is a header field with that name.
 bool hasHeader(const HttpHeaders &headers, std::string_view name);
 
-/// No byte of the request has left this host: the connection was refused or
-/// not made in time. The other side has run nothing.
+/// No byte of the request has left this host, because the connection was
+/// refused or timed out. The server has not run the request.
 class HttpNotSent : public Error {
 public:
   using Error::Error;
 };
 
-/// The connection failed after bytes may have left: the other side may have
-/// run the request.
+/// The connection failed after bytes may have left this host. The server may
+/// have run the request.
 class HttpOutcomeUnknown : public Error {
 public:
   using Error::Error;
 };
 
-/// The address can't be listened on.
+/// The server cannot listen on the address.
 class HttpListenFailed : public Error {
 public:
   using Error::Error;
@@ -51,12 +51,14 @@
   HttpHeaders Headers;
   std::string Body;
   std::string ContentType = "application/json";
+  /// The longest time to connect; beyond it the call fails with HttpNotSent.
   Duration ConnectTimeout = seconds(1);
-  /// The longest silence while the answer is awaited or read.
+  /// The longest time without a received byte while the response is awaited or
+  /// read; beyond it the call fails with HttpOutcomeUnknown.
   Duration ReadTimeout = seconds(5);
 };
 
-/// An answer as a client receives it.
+/// A response as a client receives it.
 struct HttpReply {
   int Status = 0;
   HttpHeaders Headers;
@@ -70,23 +72,23 @@
   HttpHeaders Headers;
   HttpHeaders Query;
   std::string Body;
-  /// What the groups of the route's pattern matched.
+  /// The matches of the groups in the regular expression of the route.
   std::vector<std::string> Parts;
 };
 
-/// Takes the next bytes of a streamed answer; false once the other side has
-/// gone.
+/// Takes the next bytes of a streamed response; returns false once the client
+/// has disconnected.
 using HttpSink = std::function<bool(std::string_view)>;
 
-/// An answer as a server gives it: a whole body, or a stream.
+/// A response as a server sends it: a whole body, or a stream.
 struct HttpResponse {
   int Status = 200;
   std::string ContentType = "application/json";
   std::string Body;
   HttpHeaders Headers;
-  /// If set, the body is what this hook puts into the sink. It returns whether
-  /// the stream is whole; if not, the connection is cut so that the client can
-  /// tell.
+  /// If set, the body is what this hook writes to the sink. The hook returns
+  /// whether the stream is complete; if not, the connection is closed so that
+  /// the client detects it.
   std::function<bool(const HttpSink &)> Stream;
 };
 
--- a/Libraries/LibHttp/HttpServer.cpp
+++ b/Libraries/LibHttp/HttpServer.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Lets cpp-httplib use our pool.
+/// Adapts GrowingWorkerPool to the interface of cpp-httplib.
 class TaskQueueAdapter : public httplib::TaskQueue {
 public:
   explicit TaskQueueAdapter(std::size_t limit) : Pool(limit) {}
@@ -35,7 +35,7 @@
   return request;
 }
 
-void fill(httplib::Response &to, HttpResponse from) {
+void fillResponse(httplib::Response &to, HttpResponse from) {
   to.status = from.Status;
   for (const HttpHeader &it : from.Headers)
     to.set_header(it.Name, it.Value);
@@ -57,16 +57,16 @@
 
 } // namespace
 
-struct HttpServer::Engine {
+struct HttpServer::ServerImpl {
   httplib::Server Server;
   int ListenSocket = -1;
   std::thread Listener;
-  ErrorResponder MakeFailure;
+  ErrorResponder RespondToError;
 };
 
 HttpServer::HttpServer(const HttpServerLimits &limits)
-    : Running(std::make_unique<Engine>()) {
-  httplib::Server &server = Running->Server;
+    : Implementation(std::make_unique<ServerImpl>()) {
+  httplib::Server &server = Implementation->Server;
   const std::size_t workers = limits.Workers;
   server.new_task_queue = [workers] { return new TaskQueueAdapter(workers); };
   server.set_payload_max_length(limits.MaxBodyBytes);
@@ -74,55 +74,56 @@
       std::max<time_t>(1, duration_cast<seconds>(limits.KeepAlive).count()));
   server.set_read_timeout(limits.ReadTimeout);
   server.set_tcp_nodelay(true);
-  // The library's own option lets a second process listen on the same port,
-  // which would then get a part of this one's callers.
+  // By default the library sets an option that lets a second process listen on
+  // the same port, which would then receive some of this process's callers.
   server.set_socket_options([this](socket_t socket) {
-    Running->ListenSocket = socket;
+    Implementation->ListenSocket = socket;
     const int yes = 1;
     setsockopt(socket, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof(yes));
   });
   server.set_exception_handler([this](const httplib::Request &request,
                                       httplib::Response &response,
                                       const std::exception_ptr &failure) {
-    std::string text = "unknown failure";
+    std::string text = "unknown exception";
     try {
       std::rethrow_exception(failure);
     } catch (const std::exception &error) {
       text = error.what();
     }
-    LogLine(Severity::Error, "handler failed")
+    LogLine(Severity::Error, "HTTP request handler failed")
         .field("path", request.path)
         .field("error", text);
     response.status = 500;
-    if (Running->MakeFailure)
-      fill(response, Running->MakeFailure(500, toHttpRequest(request)));
+    if (Implementation->RespondToError)
+      fillResponse(response,
+                   Implementation->RespondToError(500, toHttpRequest(request)));
   });
   server.set_error_handler(httplib::Server::HandlerWithResponse(
       [this](const httplib::Request &request, httplib::Response &response) {
-        // The library calls this for every status from 400. An answer that a
-        // handler made has its content type, even with an empty body; it must
-        // not be replaced by one that says that nothing ran.
-        const bool isHandlers = response.has_header("Content-Type");
-        if (!isHandlers && Running->MakeFailure)
-          fill(response,
-               Running->MakeFailure(response.status, toHttpRequest(request)));
+        // The library calls this for every status from 400. A handler's
+        // response has a content type, even with an empty body; it must not be
+        // replaced by one that states that nothing ran.
+        const bool isFromHandler = response.has_header("Content-Type");
+        if (!isFromHandler && Implementation->RespondToError)
+          fillResponse(response, Implementation->RespondToError(
+                                     response.status, toHttpRequest(request)));
         return httplib::Server::HandlerResponse::Handled;
       }));
 }
 
 HttpServer::~HttpServer() { stop(); }
 
-void HttpServer::setErrorResponder(ErrorResponder make) {
-  Running->MakeFailure = std::move(make);
+void HttpServer::setErrorResponder(ErrorResponder errorResponder) {
+  Implementation->RespondToError = std::move(errorResponder);
 }
 
 void HttpServer::route(const std::string &method, const std::string &pattern,
                        Handler handler) {
   auto serve = [handler = std::move(handler)](const httplib::Request &request,
                                               httplib::Response &response) {
-    fill(response, handler(toHttpRequest(request)));
+    fillResponse(response, handler(toHttpRequest(request)));
   };
-  httplib::Server &server = Running->Server;
+  httplib::Server &server = Implementation->Server;
   if (method == "GET")
     server.Get(pattern, serve);
   else if (method == "POST")
@@ -136,26 +137,27 @@
 std::string HttpServer::bind(const std::string &address) {
   const std::size_t colon = address.rfind(':');
   if (colon == std::string::npos)
-    throw HttpListenFailed("not an address: " + address);
+    throw HttpListenFailed("expected an address as ip:port, got: " + address);
   const std::string host = address.substr(0, colon);
   int port = std::atoi(address.c_str() + colon + 1);
   if (port == 0)
-    port = Running->Server.bind_to_any_port(host);
-  else if (!Running->Server.bind_to_port(host, port))
+    port = Implementation->Server.bind_to_any_port(host);
+  else if (!Implementation->Server.bind_to_port(host, port))
     port = -1;
   if (port <= 0)
-    throw HttpListenFailed("can't listen on " + address);
-  // The library lets five connections wait. When more callers come at once,
-  // the kernel drops the rest and they hang until they try again.
-  if (listen(Running->ListenSocket, SOMAXCONN) != 0)
-    throw HttpListenFailed("can't lengthen the queue of " + address);
+    throw HttpListenFailed("cannot listen on " + address);
+  // The library sets a listen backlog of five connections. If more callers
+  // connect at once, the kernel drops the others, and they hang until they
+  // retry.
+  if (listen(Implementation->ListenSocket, SOMAXCONN) != 0)
+    throw HttpListenFailed("cannot set the listen backlog of " + address);
   return host + ":" + std::to_string(port);
 }
 
 void HttpServer::serve() {
-  Running->Listener =
-      std::thread([this] { Running->Server.listen_after_bind(); });
-  while (!Running->Server.is_running())
+  Implementation->Listener =
+      std::thread([this] { Implementation->Server.listen_after_bind(); });
+  while (!Implementation->Server.is_running())
     std::this_thread::sleep_for(milliseconds(1));
 }
 
@@ -166,10 +168,10 @@
 }
 
 void HttpServer::stop() {
-  if (!Running->Listener.joinable())
+  if (!Implementation->Listener.joinable())
     return;
-  Running->Server.stop();
-  Running->Listener.join();
+  Implementation->Server.stop();
+  Implementation->Listener.join();
 }
 
 } // namespace sorrelbay
--- a/Tests/LibHttp/TestAsyncHttp.cpp
+++ b/Tests/LibHttp/TestAsyncHttp.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// A server and a client on one loop, and what one call brought.
+/// A server and a client on one event loop, and the result of one call.
 struct Pair {
   asio::io_context Loop;
   std::function<void(std::shared_ptr<HttpExchange>)> Handle;
@@ -35,8 +35,7 @@
     return out;
   }
 
-  /// Runs the loop until the condition holds, or gives up after long enough for
-  /// any machine.
+  /// Runs the event loop until the condition holds; fails after 20 s.
   void runUntil(const std::function<bool()> &holds) {
     const auto limit =
         std::chrono::steady_clock::now() + std::chrono::seconds(20);
@@ -90,8 +89,8 @@
   BOOST_TEST(pair.Body == "one two");
 }
 
-// An engine dies in the middle of a quote: what has come looks like the whole
-// answer unless the cut shows.
+// A server closes the connection in the middle of a response. The part that was
+// received must not pass for the whole response.
 BOOST_AUTO_TEST_CASE(an_answer_that_is_cut_is_not_taken_for_whole) {
   for (const std::optional<std::uint64_t> length :
        {std::optional<std::uint64_t>(), std::optional<std::uint64_t>(100)}) {
@@ -111,25 +110,25 @@
   }
 }
 
-// A caller gives up while its call is at an upstream; unless this is seen, the
-// upstream goes on working for nobody.
-BOOST_AUTO_TEST_CASE(a_client_that_leaves_is_seen_while_its_call_is_open) {
+// A caller disconnects while its call is at an upstream. Undetected, the
+// upstream would go on working on a call that nobody waits for.
+BOOST_AUTO_TEST_CASE(a_client_disconnect_is_detected_while_its_call_is_open) {
   Pair pair;
   std::shared_ptr<HttpExchange> open;
-  bool isGone = false;
+  bool isDisconnected = false;
   pair.Handle = [&](std::shared_ptr<HttpExchange> it) {
     open = std::move(it);
-    open->onClientDisconnected([&] { isGone = true; });
+    open->onClientDisconnected([&] { isDisconnected = true; });
   };
   const auto handle = pair.Client.send(pair.Server.address(), {}, pair.hooks());
   pair.runUntil([&] { return open != nullptr; });
   handle->cancel();
-  pair.runUntil([&] { return isGone; });
+  pair.runUntil([&] { return isDisconnected; });
   BOOST_TEST(pair.Server.openRequests() == 0U);
 }
 
-// A replica sends a second answer behind the first one. Taken for the answer to
-// the next call, it would hand one caller the answer of another.
+// A replica sends a second response after the first. Taken for the response to
+// the next call, it would reach the wrong caller.
 BOOST_AUTO_TEST_CASE(bytes_after_an_answer_end_the_connection) {
   asio::io_context loop;
   asio::ip::tcp::acceptor acceptor(loop,
@@ -173,7 +172,7 @@
   BOOST_TEST(accepted == 2);
 }
 
-BOOST_AUTO_TEST_CASE(what_is_too_large_is_refused_and_says_so) {
+BOOST_AUTO_TEST_CASE(too_large_requests_are_refused_with_their_status) {
   Pair pair;
   pair.Limits.MaxBodyBytes = 10;
   pair.Limits.MaxHeaderBytes = 2000;
--- a/Tests/LibHttp/TestHttpServer.cpp
+++ b/Tests/LibHttp/TestHttpServer.cpp
@@ -8,7 +8,7 @@
 
 using namespace sorrelbay;
 
-/// Connects within the time, or gives -1.
+/// Connects within waitLimit; returns the socket, or -1.
 static int connectWithin(const std::string &address, Duration waitLimit) {
   const std::size_t colon = address.rfind(':');
   sockaddr_in to{};
@@ -25,10 +25,10 @@
   return -1;
 }
 
-// Many callers come in the same moment, while the daemon's accepting thread
-// does not get to run. With the library's queue of five the others hang, and
-// some give up although the daemon would have had room for them.
-BOOST_AUTO_TEST_CASE(server_lets_a_crowd_wait_until_it_accepts) {
+// Many callers connect at once while the thread that accepts connections does
+// not run. With the library's listen backlog of five the others hang, and some
+// give up although the daemon has capacity for them.
+BOOST_AUTO_TEST_CASE(server_queues_many_connections_until_it_accepts) {
   constexpr int Callers = 64;
   HttpServer server;
   const std::string address = server.bind("127.0.0.1:0");
@@ -41,8 +41,8 @@
     close(it);
 }
 
-// Two daemons are given the same address by mistake. If both could listen
-// there, callers would be spread over the two without anybody noticing.
+// Two daemons are configured with the same address by mistake. If both could
+// listen on it, callers would be split between them unnoticed.
 BOOST_AUTO_TEST_CASE(server_refuses_a_port_in_use) {
   HttpServer first;
   HttpServer second;
@@ -50,8 +50,9 @@
   BOOST_CHECK_THROW(second.bind(address), HttpListenFailed);
 }
 
-// A desk ran a booking and answered 404 with an empty body. If the server took
-// that for a path that it doesn't have, the caller would hear that nothing ran.
+// A desk runs a booking and responds with 404 and an empty body. If the server
+// took that for an unknown path, the caller would receive the outcome that
+// nothing ran.
 BOOST_AUTO_TEST_CASE(server_leaves_a_handlers_empty_failure_alone) {
   HttpServer server;
   server.setErrorResponder([](int status, const HttpRequest &request) {
