--- a/Libraries/LibBase/Error.h
+++ b/Libraries/LibBase/Error.h
@@ -6,9 +6,9 @@
 
 namespace sorrelbay {
 
-/// The base of every failure. Each kind of failure is a class of its own below
-/// it, in the library where it arises, so that a handler can name what it
-/// handles. The message is for a person and is never parsed.
+/// The base class of all errors. Each kind of error has a class of its own,
+/// defined in the library that throws it, so that a handler catches exactly
+/// what it handles. The message is for operators and is never parsed.
 class Error : public std::exception {
 public:
   explicit Error(std::string message) : Message(std::move(message)) {}
--- a/Libraries/LibBase/Identifier.h
+++ b/Libraries/LibBase/Identifier.h
@@ -6,9 +6,9 @@
 
 namespace sorrelbay {
 
-/// A name whose kind is part of its type, so that a zone can't be passed where
-/// a host is meant. Immutable; the text comes from settings, the platform or a
-/// caller and is not interpreted here.
+/// An identifier whose kind is part of its type, so that a zone cannot be
+/// passed where a host is expected. Immutable; the text comes from settings,
+/// the platform or a caller and is not interpreted here.
 template <typename Tag> class Identifier {
 public:
   Identifier() = default;
@@ -31,26 +31,25 @@
   std::string Text;
 };
 
-/// An entry host: a machine on which a sorrelbayd runs.
+/// An entry host: a host on which a sorrelbayd runs.
 using HostId = Identifier<struct HostTag>;
 /// An availability zone.
 using ZoneId = Identifier<struct ZoneTag>;
-/// A caller's team, the unit of fairness.
+/// The team of a caller; rate limits and fair sharing apply by team.
 using TeamId = Identifier<struct TeamTag>;
-/// A model or a desk as callers name it.
+/// A model or a desk, by the name that callers use.
 using ServiceId = Identifier<struct ServiceTag>;
-/// One version of a service's upstreams.
+/// A version of the upstreams of a service.
 using VersionId = Identifier<struct VersionTag>;
-/// A kind of call with its own latency target and its own evidence.
+/// A class of calls with its own latency target and its own canary evidence.
 using RouteId = Identifier<struct RouteTag>;
-/// One upstream process, by "address:port".
+/// An upstream process, identified by "address:port".
 using UpstreamId = Identifier<struct UpstreamTag>;
 /// The caller's idempotency key, unique within a team.
 using IdempotencyKey = Identifier<struct CallKeyTag>;
-/// One life of one daemon process; a restarted daemon has a new one.
+/// One incarnation of a daemon process; a restarted daemon has a new one.
 using IncarnationId = Identifier<struct IncarnationTag>;
-/// Whose report it is: a host's, or a zone's by the host that aggregates for
-/// it.
+/// The source of a report: a host, or the zone whose reports a host aggregates.
 using SourceId = Identifier<struct SourceTag>;
 
 } // namespace sorrelbay
--- a/Libraries/LibBase/Invariant.h
+++ b/Libraries/LibBase/Invariant.h
@@ -6,25 +6,26 @@
 
 namespace sorrelbay {
 
-/// A promise of the system was found broken by the program itself.
+/// The program detected that one of its own invariants is violated.
 class InvariantViolation : public Error {
 public:
   using Error::Error;
 };
 
-/// What is done when an invariant is found broken; called with its name and a
-/// sentence on what was seen. It must not return normally.
+/// Called when an invariant is violated, with its name and a sentence that
+/// describes the state found. It must not return normally.
 using InvariantHandler =
     std::function<void(const std::string &, const std::string &)>;
 
-/// Replaces the handler and returns the old one. The handler at start logs and
-/// aborts: an answer that breaks a promise is worse than a lost process.
+/// Replaces the handler and returns the previous one. The default handler logs
+/// and aborts: a response that violates an invariant is worse than the loss of
+/// a process.
 InvariantHandler setInvariantHandler(InvariantHandler handler);
 
-/// Checks an invariant, in every build.
+/// Checks an invariant, in every build type.
 void verifyInvariant(bool holds, const char *name, const char *seen);
 
-/// Reports an invariant as broken, with a message put together by the caller.
+/// Reports a violated invariant, with a message built by the caller.
 [[noreturn]] void failInvariant(const char *name, const std::string &seen);
 
 } // namespace sorrelbay
--- a/Libraries/LibBase/LogLine.cpp
+++ b/Libraries/LibBase/LogLine.cpp
@@ -18,50 +18,53 @@
 
 namespace {
 
-/// Lines that may wait to be written; beyond it lines are lost, and counted.
-constexpr std::size_t MostWaitingLines = 2048;
+/// The largest number of lines queued for writing; further lines are dropped
+/// and counted.
+constexpr std::size_t MaxQueuedLines = 2048;
 
-/// Writes lines to standard output on a thread of its own, so that a reader of
-/// it that stands still loses lines and holds up no call. The mutex is a leaf.
+/// Writes lines to standard output on a separate thread, so that a stalled
+/// reader of the output causes dropped lines and not blocked calls. No other
+/// mutex is locked while its mutex is held.
 class LineWriter {
 public:
-  LineWriter() : Worker([this] { work(); }) { Worker.detach(); }
+  LineWriter() : Worker([this] { writeLines(); }) { Worker.detach(); }
 
   void add(std::string line) {
     const std::lock_guard<std::mutex> lock(Mutex);
-    if (Waiting.size() >= MostWaitingLines) {
-      ++Lost;
+    if (QueuedLines.size() >= MaxQueuedLines) {
+      ++DroppedLines;
       return;
     }
-    Waiting.push_back(std::move(line));
+    QueuedLines.push_back(std::move(line));
     Changed.notify_one();
   }
 
-  /// Waits a moment for the lines that wait to be written, at the end.
+  /// Waits at most 200 ms for the queued lines to be written; called at exit.
   void flush() {
     std::unique_lock<std::mutex> lock(Mutex);
     Changed.wait_for(lock, milliseconds(200),
-                     [this] { return Waiting.empty() && !IsWriting; });
+                     [this] { return QueuedLines.empty() && !IsWriting; });
   }
 
 private:
-  void work() {
+  void writeLines() {
     std::unique_lock<std::mutex> lock(Mutex);
     for (;;) {
-      Changed.wait(lock, [this] { return !Waiting.empty(); });
-      std::vector<std::string> lines = std::move(Waiting);
-      Waiting.clear();
-      const std::size_t lost = Lost;
-      Lost = 0;
+      Changed.wait(lock, [this] { return !QueuedLines.empty(); });
+      std::vector<std::string> lines = std::move(QueuedLines);
+      QueuedLines.clear();
+      const std::size_t droppedCount = DroppedLines;
+      DroppedLines = 0;
       IsWriting = true;
       lock.unlock();
       std::string text;
       for (const std::string &it : lines)
         text += it;
-      if (lost != 0)
-        text += nlohmann::json{{"event", "log lines lost"}, {"count", lost}}
-                    .dump() +
-                "\n";
+      if (droppedCount != 0)
+        text +=
+            nlohmann::json{{"event", "log lines lost"}, {"count", droppedCount}}
+                .dump() +
+            "\n";
       std::fwrite(text.data(), 1, text.size(), stdout);
       std::fflush(stdout);
       lock.lock();
@@ -72,21 +75,21 @@
 
   std::mutex Mutex;
   std::condition_variable Changed;
-  std::vector<std::string> Waiting;
-  std::size_t Lost = 0;
+  std::vector<std::string> QueuedLines;
+  std::size_t DroppedLines = 0;
   bool IsWriting = false;
   std::thread Worker;
 };
 
-/// Lives as long as the process: lines may come until the very end.
+/// Never destroyed, because lines may be logged until the process exits.
 LineWriter &lineWriter() {
   static LineWriter &writer = *new LineWriter;
   return writer;
 }
 
-/// Turns each glog record into one JSON line. A message that is itself a JSON
-/// object (from LogLine) goes on behind the common fields; any other becomes
-/// the event's text.
+/// Converts each glog record to one JSON line. If the message is itself a JSON
+/// object (from LogLine), its fields follow the common fields; any other
+/// message becomes the event.
 class JsonLineSink : public google::LogSink {
 public:
   JsonLineSink(std::string program, std::string host, std::string zone)
@@ -175,7 +178,7 @@
   FLAGS_stderrthreshold = google::NUM_SEVERITIES;
   for (int n = google::INFO; n < google::NUM_SEVERITIES; ++n)
     google::SetLogDestination(n, "");
-  // The sink lives as long as the process; glog may log until the very end.
+  // Never destroyed, because glog may log until the process exits.
   static JsonLineSink sink(program, host, zone);
   google::AddLogSink(&sink);
   std::atexit([] { lineWriter().flush(); });
--- a/Libraries/LibBase/LogLine.h
+++ b/Libraries/LibBase/LogLine.h
@@ -8,9 +8,8 @@
 
 enum class Severity { Info, Warning, Error };
 
-/// One log line, written as a JSON object on standard output when it is
-/// destroyed. The event names what happened in a few constant words; all that
-/// varies goes into fields.
+/// A log line, written as a JSON object to standard output on destruction. The
+/// event is a short constant phrase; variable data goes into fields.
 class LogLine {
 public:
   LogLine(Severity severity, std::string event);
@@ -28,9 +27,9 @@
   std::unique_ptr<Fields> Values;
 };
 
-/// Sends glog's output to standard output as JSON lines and nowhere else, from
-/// a thread of its own that never holds up the caller. Every line carries the
-/// program, host and zone given here. Called once at start.
+/// Redirects all output of glog to standard output as JSON lines, written on a
+/// separate thread so that logging never blocks the caller. Every line contains
+/// the program, host and zone given here. Called once at startup.
 void initializeLogging(const char *program, const std::string &host,
                        const std::string &zone);
 
--- a/Libraries/LibBase/LogRateLimiter.cpp
+++ b/Libraries/LibBase/LogRateLimiter.cpp
@@ -4,20 +4,21 @@
 namespace sorrelbay {
 
 bool LogRateLimiter::take(Instant now) {
-  if (FilledAt != Instant{})
-    Saved = std::min(Rate, Saved + Rate * toSeconds(now - FilledAt));
-  FilledAt = now;
-  if (Saved < 1) {
-    ++LeftOut;
+  if (LastRefill != Instant{})
+    AvailableLines =
+        std::min(Rate, AvailableLines + Rate * toSeconds(now - LastRefill));
+  LastRefill = now;
+  if (AvailableLines < 1) {
+    ++SuppressedCount;
     return false;
   }
-  Saved -= 1;
+  AvailableLines -= 1;
   return true;
 }
 
 std::int64_t LogRateLimiter::takeSuppressedCount() {
-  const std::int64_t n = LeftOut;
-  LeftOut = 0;
+  const std::int64_t n = SuppressedCount;
+  SuppressedCount = 0;
   return n;
 }
 
--- a/Libraries/LibBase/LogRateLimiter.h
+++ b/Libraries/LibBase/LogRateLimiter.h
@@ -4,24 +4,24 @@
 
 namespace sorrelbay {
 
-/// How many log lines of one sort may be written: so many a second, and a
-/// second's worth at once. What is left out is counted, so that a reader knows
-/// that lines are missing. Not thread-safe.
+/// A token bucket that limits the rate of log lines of one kind, in lines per
+/// second, with a burst of one second. Suppressed lines are counted, so that
+/// their number can be logged. Not thread-safe.
 class LogRateLimiter {
 public:
   explicit LogRateLimiter(double linesPerSecond)
-      : Rate(linesPerSecond), Saved(linesPerSecond) {}
+      : Rate(linesPerSecond), AvailableLines(linesPerSecond) {}
 
-  /// Takes a line out of the budget; false if there is none left.
+  /// Takes one line from the budget; returns false if none is left.
   bool take(Instant now);
-  /// Lines that were left out since this was last asked.
+  /// The number of lines suppressed since the previous call.
   std::int64_t takeSuppressedCount();
 
 private:
   double Rate;
-  double Saved;
-  Instant FilledAt{};
-  std::int64_t LeftOut = 0;
+  double AvailableLines;
+  Instant LastRefill{};
+  std::int64_t SuppressedCount = 0;
 };
 
 } // namespace sorrelbay
--- a/Libraries/LibBase/Rfc3339.cpp
+++ b/Libraries/LibBase/Rfc3339.cpp
@@ -6,7 +6,7 @@
 namespace sorrelbay {
 
 static constexpr int FirstYearOfTm = 1900;
-static constexpr std::size_t LongestTimeText = 40;
+static constexpr std::size_t MaxTimestampLength = 40;
 
 static Instant toInstant(const toml::date_time &value) {
   std::tm parts{};
@@ -23,9 +23,10 @@
 }
 
 std::optional<Instant> parseRfc3339(const std::string &text) {
-  // TOML's date-times are RFC 3339, so its parser reads them. A longer text or
-  // one with a line break could smuggle in more than one value.
-  if (text.size() > LongestTimeText ||
+  // Dates and times in TOML are RFC 3339, so the TOML parser reads them. A
+  // longer text, or one with a line break or a comment, could contain more than
+  // one value.
+  if (text.size() > MaxTimestampLength ||
       text.find_first_of("\r\n#") != std::string::npos)
     return std::nullopt;
   try {
@@ -43,7 +44,7 @@
   const std::time_t whole = toEpochMilliseconds(at) / 1000;
   std::tm parts{};
   gmtime_r(&whole, &parts);
-  std::array<char, LongestTimeText> buf{};
+  std::array<char, MaxTimestampLength> buf{};
   const std::size_t n =
       std::strftime(buf.data(), buf.size(), "%Y-%m-%dT%H:%M:%SZ", &parts);
   return {buf.data(), n};
--- a/Libraries/LibBase/Time.h
+++ b/Libraries/LibBase/Time.h
@@ -5,10 +5,10 @@
 
 namespace sorrelbay {
 
-/// A span of time, in microseconds.
+/// A duration in microseconds.
 using Duration = std::chrono::microseconds;
-/// A point in time since the epoch. Decisions are given it; only the daemons
-/// and tools read a clock.
+/// A point in time since the epoch. Decision code takes it as a parameter; only
+/// the daemons and tools read a clock.
 using Instant = std::chrono::time_point<std::chrono::system_clock, Duration>;
 
 using std::chrono::duration_cast;
@@ -18,28 +18,29 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-/// The wall clock's time, for the edges of the program.
+/// The current time of the wall clock, for daemons and tools only.
 inline Instant now() {
   return std::chrono::time_point_cast<Duration>(
       std::chrono::system_clock::now());
 }
 
-/// Whole milliseconds of a span, rounded down.
+/// Converts to whole milliseconds, truncated.
 inline std::int64_t toMilliseconds(Duration span) {
   return duration_cast<milliseconds>(span).count();
 }
 
-/// Seconds of a span, with fractions.
+/// Converts to seconds, with fractions.
 inline double toSeconds(Duration span) {
   return std::chrono::duration<double>(span).count();
 }
 
-/// The span of that many seconds, rounded to microseconds.
+/// Converts from seconds, truncated to microseconds.
 inline Duration fromSeconds(double n) {
   return duration_cast<Duration>(std::chrono::duration<double>(n));
 }
 
-/// Milliseconds since the epoch, as messages carry points in time.
+/// Converts to milliseconds since the epoch, the format of points in time in
+/// messages.
 inline std::int64_t toEpochMilliseconds(Instant at) {
   return toMilliseconds(at.time_since_epoch());
 }
--- a/Libraries/LibBase/TomlReader.cpp
+++ b/Libraries/LibBase/TomlReader.cpp
@@ -29,26 +29,26 @@
 TomlError::TomlError(std::vector<TomlFault> faults)
     : Error(describeAll(faults)), Faults(std::move(faults)) {}
 
-/// What all readers of one document share.
+/// The state shared by all readers of a document.
 struct TomlReader::Document {
   std::string File;
   toml::table Root;
   std::vector<TomlFault> Faults;
-  /// Every table that was opened, for the search for unknown keys.
-  std::vector<std::shared_ptr<Node>> Opened;
+  /// All tables that were opened, in which finish() searches for unknown keys.
+  std::vector<std::shared_ptr<Node>> OpenedTables;
 };
 
-/// One table of the document and the keys that were asked for.
+/// A table of the document and the keys that accessors have read.
 struct TomlReader::Node {
   const toml::table *Table = nullptr;
   std::string Path;
-  std::set<std::string> Known;
+  std::set<std::string> KnownKeys;
 
   std::string pathOf(const char *key) const {
     return Path.empty() ? key : Path + "." + key;
   }
   const toml::node *find(const char *key) {
-    Known.insert(key);
+    KnownKeys.insert(key);
     return Table == nullptr ? nullptr : Table->get(key);
   }
 };
@@ -59,8 +59,8 @@
 
 TomlReader::TomlReader(std::shared_ptr<Document> document,
                        std::shared_ptr<Node> node)
-    : Whole(std::move(document)), Here(std::move(node)) {
-  Whole->Opened.push_back(Here);
+    : SharedDocument(std::move(document)), CurrentTable(std::move(node)) {
+  SharedDocument->OpenedTables.push_back(CurrentTable);
 }
 TomlReader::TomlReader(TomlReader &&) noexcept = default;
 TomlReader::~TomlReader() = default;
@@ -81,17 +81,17 @@
 
 void TomlReader::addFault(const char *key, const std::string &reason) {
   const toml::node *value =
-      Here->Table == nullptr ? nullptr : Here->Table->get(key);
-  Whole->Faults.push_back(
-      {Whole->File, lineOf(value), Here->pathOf(key), reason});
+      CurrentTable->Table == nullptr ? nullptr : CurrentTable->Table->get(key);
+  SharedDocument->Faults.push_back(
+      {SharedDocument->File, lineOf(value), CurrentTable->pathOf(key), reason});
 }
 
 bool TomlReader::has(const char *key) const {
-  return Here->Table != nullptr && Here->Table->contains(key);
+  return CurrentTable->Table != nullptr && CurrentTable->Table->contains(key);
 }
 
 std::string TomlReader::requiredText(const char *key) {
-  if (Here->find(key) == nullptr) {
+  if (CurrentTable->find(key) == nullptr) {
     addFault(key, "is missing");
     return "";
   }
@@ -100,73 +100,73 @@
 
 std::int64_t TomlReader::requiredInteger(const char *key, std::int64_t low,
                                          std::int64_t high) {
-  if (Here->find(key) == nullptr) {
+  if (CurrentTable->find(key) == nullptr) {
     addFault(key, "is missing");
     return low;
   }
   return integer(key, low, low, high);
 }
 
-std::string TomlReader::text(const char *key, const std::string &otherwise) {
-  const toml::node *value = Here->find(key);
+std::string TomlReader::text(const char *key, const std::string &defaultValue) {
+  const toml::node *value = CurrentTable->find(key);
   if (value == nullptr)
-    return otherwise;
+    return defaultValue;
   if (const auto *found = value->as_string())
     return found->get();
   addFault(key, "must be a string");
-  return otherwise;
+  return defaultValue;
 }
 
-std::int64_t TomlReader::integer(const char *key, std::int64_t otherwise,
+std::int64_t TomlReader::integer(const char *key, std::int64_t defaultValue,
                                  std::int64_t low, std::int64_t high) {
-  const toml::node *value = Here->find(key);
+  const toml::node *value = CurrentTable->find(key);
   if (value == nullptr)
-    return otherwise;
+    return defaultValue;
   const auto *found = value->as_integer();
   if (found == nullptr) {
     addFault(key, "must be a whole number");
-    return otherwise;
+    return defaultValue;
   }
   if (found->get() < low || found->get() > high) {
     addFault(key, "must be from " + std::to_string(low) + " to " +
                       std::to_string(high));
-    return otherwise;
+    return defaultValue;
   }
   return found->get();
 }
 
-double TomlReader::number(const char *key, double otherwise, double low,
+double TomlReader::number(const char *key, double defaultValue, double low,
                           double high) {
-  const toml::node *value = Here->find(key);
+  const toml::node *value = CurrentTable->find(key);
   if (value == nullptr)
-    return otherwise;
+    return defaultValue;
   const auto found = value->value<double>();
   if (!found || !value->is_number()) {
     addFault(key, "must be a number");
-    return otherwise;
+    return defaultValue;
   }
-  // Written so that a NaN is refused too.
+  // This form of the condition also refuses NaN.
   if (!(*found >= low && *found <= high)) {
     addFault(key, "must be from " + std::to_string(low) + " to " +
                       std::to_string(high));
-    return otherwise;
+    return defaultValue;
   }
   return *found;
 }
 
-bool TomlReader::boolean(const char *key, bool otherwise) {
-  const toml::node *value = Here->find(key);
+bool TomlReader::boolean(const char *key, bool defaultValue) {
+  const toml::node *value = CurrentTable->find(key);
   if (value == nullptr)
-    return otherwise;
+    return defaultValue;
   if (const auto *found = value->as_boolean())
     return found->get();
   addFault(key, "must be true or false");
-  return otherwise;
+  return defaultValue;
 }
 
 std::vector<std::string> TomlReader::texts(const char *key) {
   std::vector<std::string> out;
-  const toml::node *value = Here->find(key);
+  const toml::node *value = CurrentTable->find(key);
   if (value == nullptr)
     return out;
   const toml::array *array = value->as_array();
@@ -178,26 +178,26 @@
     if (const auto *found = it.as_string())
       out.push_back(found->get());
     else
-      addFault(key, "must hold only strings");
+      addFault(key, "must contain only strings");
   }
   return out;
 }
 
 TomlReader TomlReader::table(const char *key) {
   auto node = std::make_shared<Node>();
-  node->Path = Here->pathOf(key);
-  const toml::node *value = Here->find(key);
+  node->Path = CurrentTable->pathOf(key);
+  const toml::node *value = CurrentTable->find(key);
   if (value != nullptr) {
     node->Table = value->as_table();
     if (node->Table == nullptr)
       addFault(key, "must be a table");
   }
-  return {Whole, node};
+  return {SharedDocument, node};
 }
 
 std::vector<TomlReader> TomlReader::tables(const char *key) {
   std::vector<TomlReader> out;
-  const toml::node *value = Here->find(key);
+  const toml::node *value = CurrentTable->find(key);
   if (value == nullptr)
     return out;
   const toml::array *array = value->as_array();
@@ -207,29 +207,29 @@
   }
   for (std::size_t n = 0; n < array->size(); ++n) {
     auto node = std::make_shared<Node>();
-    node->Path = Here->pathOf(key) + "[" + std::to_string(n) + "]";
+    node->Path = CurrentTable->pathOf(key) + "[" + std::to_string(n) + "]";
     node->Table = array->get(n)->as_table();
     if (node->Table == nullptr)
-      addFault(key, "must hold only tables");
-    out.push_back(TomlReader(Whole, node));
+      addFault(key, "must contain only tables");
+    out.push_back(TomlReader(SharedDocument, node));
   }
   return out;
 }
 
 void TomlReader::finish() {
-  for (const auto &node : Whole->Opened) {
+  for (const auto &node : SharedDocument->OpenedTables) {
     if (node->Table == nullptr)
       continue;
     for (const auto &entry : *node->Table) {
       const std::string key(entry.first.str());
-      if (node->Known.count(key) == 0)
-        Whole->Faults.push_back({Whole->File, lineOf(&entry.second),
-                                 node->pathOf(key.c_str()),
-                                 "is not a known key"});
+      if (node->KnownKeys.count(key) == 0)
+        SharedDocument->Faults.push_back(
+            {SharedDocument->File, lineOf(&entry.second),
+             node->pathOf(key.c_str()), "is not a known key"});
     }
   }
-  if (!Whole->Faults.empty())
-    throw TomlError(Whole->Faults);
+  if (!SharedDocument->Faults.empty())
+    throw TomlError(SharedDocument->Faults);
 }
 
 } // namespace sorrelbay
--- a/Libraries/LibBase/Trace.cpp
+++ b/Libraries/LibBase/Trace.cpp
@@ -8,21 +8,21 @@
 
 static constexpr std::size_t TraceIdDigits = 32;
 static constexpr std::size_t SpanIdDigits = 16;
-// "00-" trace id "-" span id "-" two digits of flags.
+// "00-", the trace id, "-", the span id, "-" and two digits of flags.
 static constexpr std::size_t TraceParentLength = 55;
 static constexpr std::size_t TraceIdStart = 3;
 static constexpr std::size_t SpanIdStart = 36;
 
-static std::atomic<bool> SpansAreWritten{false};
+static std::atomic<bool> IsSpanOutputEnabled{false};
 
-void setSpanOutputEnabled(bool areWritten) { SpansAreWritten = areWritten; }
+void setSpanOutputEnabled(bool isEnabled) { IsSpanOutputEnabled = isEnabled; }
 
 std::string randomHex(std::size_t n) {
-  thread_local std::mt19937_64 engine{std::random_device{}()};
+  thread_local std::mt19937_64 generator{std::random_device{}()};
   static const char alphabet[] = "0123456789abcdef";
   std::string out;
   while (out.size() < n) {
-    std::uint64_t bits = engine();
+    std::uint64_t bits = generator();
     for (int it = 0; it < 16 && out.size() < n; ++it, bits >>= 4)
       out.push_back(alphabet[bits & 0xf]);
   }
@@ -58,15 +58,16 @@
 
 Span::Span(std::string name, const TraceContext &parent)
     : Name(std::move(name)),
-      ParentSpanId(parent.SpanId), Own{parent.TraceId, randomHex(SpanIdDigits)},
+      ParentSpanId(parent.SpanId), OwnContext{parent.TraceId,
+                                              randomHex(SpanIdDigits)},
       Start(now()) {}
 
 Span::~Span() {
-  if (!SpansAreWritten)
+  if (!IsSpanOutputEnabled)
     return;
   LogLine line(Severity::Info, "span");
-  line.field("traceId", Own.TraceId)
-      .field("spanId", Own.SpanId)
+  line.field("traceId", OwnContext.TraceId)
+      .field("spanId", OwnContext.SpanId)
       .field("parentSpanId", ParentSpanId)
       .field("name", Name)
       .field("startTimeUnixMicro",
--- a/Libraries/LibBase/Trace.h
+++ b/Libraries/LibBase/Trace.h
@@ -5,29 +5,29 @@
 
 namespace sorrelbay {
 
-/// Where a call stands in a trace, as W3C Trace Context carries it in the
-/// header `traceparent`.
+/// The position of a call in a trace, as in the `traceparent` header of W3C
+/// Trace Context.
 struct TraceContext {
   /// 32 lower-case hexadecimal digits.
   std::string TraceId;
-  /// 16 lower-case hexadecimal digits; the parent of spans made from this.
+  /// 16 lower-case hexadecimal digits; the parent of spans created from this
+  /// context.
   std::string SpanId;
 };
 
-/// Reads a `traceparent` header; anything malformed starts a new trace, as the
-/// recommendation asks.
+/// Parses a `traceparent` header. A malformed header starts a new trace, as the
+/// W3C recommendation requires.
 TraceContext parseTraceParent(const std::string &header);
 
-/// The header for a call made on behalf of this context.
+/// The `traceparent` header for a call made in this context.
 std::string renderTraceParent(const TraceContext &context);
 
-/// A random identifier of that many hexadecimal digits, unique in practice
-/// over all hosts.
+/// A random identifier with the given number of hexadecimal digits, unique in
+/// practice over all hosts if it is long enough.
 std::string randomHex(std::size_t digits);
 
-/// One hop of a request. It is written as a JSON line with the field names of
-/// OTLP when it is destroyed. There is no OpenTelemetry package for C++ in
-/// Debian, so this is its nearest kin.
+/// A span of a trace. On destruction it is written as a JSON line with the
+/// field names of OTLP, because Debian has no OpenTelemetry package for C++.
 class Span {
 public:
   Span(std::string name, const TraceContext &parent);
@@ -35,21 +35,22 @@
   Span(const Span &) = delete;
   Span &operator=(const Span &) = delete;
 
-  /// The context to pass on to what this hop calls.
-  const TraceContext &context() const { return Own; }
+  /// The context for calls made within this span.
+  const TraceContext &context() const { return OwnContext; }
   void setAttribute(const std::string &key, const std::string &value);
   void setFailed(const std::string &reason);
 
 private:
   std::string Name;
   std::string ParentSpanId;
-  TraceContext Own;
+  TraceContext OwnContext;
   Instant Start;
   std::string Attributes;
   std::string Failure;
 };
 
-/// Whether spans are written; off by default, so that tests stay quiet.
-void setSpanOutputEnabled(bool areWritten);
+/// Enables or disables the output of spans; disabled by default, which keeps
+/// the output of tests short.
+void setSpanOutputEnabled(bool isEnabled);
 
 } // namespace sorrelbay
