--- a/Libraries/LibCaller/CallContext.cpp
+++ b/Libraries/LibCaller/CallContext.cpp
@@ -17,7 +17,7 @@
 constexpr std::uint64_t MaxAttempt = 1'000'000;
 constexpr std::uint64_t MaxEventId = 1'000'000'000;
 constexpr int StatusBadRequest = 400;
-// Common tokenizers give about four bytes of text a token.
+// Common tokenizers produce about one token per four bytes of text.
 constexpr std::uint64_t BytesPerToken = 4;
 
 [[noreturn]] void refuse(const std::string &detail) {
@@ -38,10 +38,10 @@
 }
 
 std::uint64_t numberHeader(const HttpRequest &request, const char *name,
-                           std::uint64_t otherwise, std::uint64_t high) {
+                           std::uint64_t defaultValue, std::uint64_t high) {
   const std::string text = boundedHeader(request, name);
   if (text.empty())
-    return otherwise;
+    return defaultValue;
   std::uint64_t n = 0;
   const auto end = std::from_chars(text.data(), text.data() + text.size(), n);
   if (end.ec != std::errc() || end.ptr != text.data() + text.size() || n > high)
@@ -94,7 +94,8 @@
     call.WantsStream = json.value("stream", false);
     call.MaxTokens = json.value("max_tokens", std::uint64_t{0});
     call.PromptTokens = call.MessagesJson.size() / BytesPerToken;
-    // All conversations of a team may open with one and the same system prompt.
+    // All conversations of a team may begin with the same system prompt, so the
+    // message after it is hashed too.
     const bool hasSystemPrompt =
         messages.size() > 1 && messages[0].value("role", "") == "system";
     call.ConversationHash =
@@ -119,8 +120,8 @@
 std::string renderTokenEvent(const std::string &requestId,
                              const ModelCall &call, std::uint64_t offset,
                              const std::string &text) {
-  // Put together by hand: this runs for every token, and only the text needs
-  // the library's escaping.
+  // Rendered without the JSON library, because this runs for every token; only
+  // the text needs the escaping of the library.
   std::string out = "id: " + std::to_string(offset) + "\ndata: {\"id\":\"";
   out += requestId;
   out += "\",\"object\":\"chat.completion.chunk\",\"model\":";
--- a/Libraries/LibCaller/CallContext.h
+++ b/Libraries/LibCaller/CallContext.h
@@ -10,46 +10,48 @@
 
 namespace sorrelbay {
 
-/// The longest header value that a call may bring; a key's too.
+/// The longest header value of a call in bytes, including the idempotency key;
+/// a call with a longer one is refused with status 400.
 constexpr std::size_t MaxHeaderValueBytes = 200;
 
-/// What every call of a caller brings along in its headers.
+/// The parameters that a call carries in its headers.
 struct CallContext {
   /// `X-Team`.
   TeamId FromTeam;
-  /// `X-Route`, for model calls; the operation of desk calls.
+  /// `X-Route` of a model call; the operation of a desk call.
   RouteId OnRoute;
-  /// `Idempotency-Key`; empty if there is none.
+  /// `Idempotency-Key`; empty if the call has none.
   IdempotencyKey Key;
-  /// `X-Attempt`: 1 for the first try of a key, one more for each repeat; 0
-  /// where the caller doesn't say.
+  /// `X-Attempt`: 1 for the first attempt with a key, incremented with each
+  /// retry; 0 if the call does not state it.
   std::uint64_t Attempt = 0;
-  /// When the caller no longer wants the answer, from `X-Deadline-Ms`, which
-  /// counts from arrival.
+  /// The time after which the caller no longer wants a response: the arrival
+  /// time plus `X-Deadline-Ms`.
   Instant Deadline{};
   /// `traceparent`.
   TraceContext Trace;
 };
 
-/// Reads and checks the headers. Throws Problem with status 400 and names the
-/// header when one is malformed or over its length.
+/// Parses and checks the headers. Throws Problem with status 400 and the name
+/// of the header if one is malformed or too long.
 CallContext parseCallContext(const HttpRequest &request, Instant arrival);
 
-/// `Last-Event-ID`: the last event that a caller has seen, nothing if it has
-/// seen none. Throws Problem with status 400 when it is no number.
+/// `Last-Event-ID`: the id of the last event that the caller received; nothing
+/// if the header is missing. Throws Problem with status 400 if it is not a
+/// number.
 std::optional<std::uint64_t> parseLastEventId(const HttpRequest &request);
 
-/// A model call's body.
+/// The body of a model call.
 struct ModelCall {
   ServiceId Model;
-  /// The messages, a JSON array, passed on as they came.
+  /// The messages, a JSON array, as the caller sent them.
   std::string MessagesJson;
   bool WantsStream = false;
-  /// 0 where the caller sets no limit.
+  /// 0 if the caller sets no limit.
   std::uint64_t MaxTokens = 0;
-  /// A rough count of the prompt's tokens, for estimates.
+  /// An estimate of the number of tokens in the prompt.
   std::uint64_t PromptTokens = 0;
-  /// The same for calls of one conversation: a hash of the first messages.
+  /// A hash of the first messages, the same for all calls of a conversation.
   std::uint64_t ConversationHash = 0;
 };
 
@@ -57,20 +59,20 @@
 /// 400.
 ModelCall parseModelCall(const std::string &body);
 
-/// The inverse of parseModelCall.
+/// Renders the body that parseModelCall reads.
 std::string renderModelCall(const ModelCall &call);
 
-/// One streamed token as a server-sent event in the form of OpenAI's API; the
-/// event's id is the offset, so that `Last-Event-ID` names what the caller
-/// has.
+/// A streamed token as a server-sent event in the format of the OpenAI API. The
+/// id of the event is the offset of the token, so that `Last-Event-ID` states
+/// what the caller received.
 std::string renderTokenEvent(const std::string &requestId,
                              const ModelCall &call, std::uint64_t offset,
                              const std::string &text);
-/// The end of the stream: the finish reason and the stated length, then
-/// `[DONE]`.
+/// The end of the stream: an event with the finish reason and the length in
+/// tokens, then `[DONE]`.
 std::string renderEndEvent(const std::string &requestId, const ModelCall &call,
                            std::uint64_t length, const std::string &reason);
-/// The whole answer as one JSON document.
+/// The whole answer as a JSON document.
 std::string renderCompletion(const std::string &requestId,
                              const ModelCall &call, std::uint64_t length,
                              const std::string &text,
--- a/Libraries/LibCaller/DeskCallReply.cpp
+++ b/Libraries/LibCaller/DeskCallReply.cpp
@@ -8,12 +8,12 @@
 
 static constexpr int StatusOk = 200;
 static const char *const DoneValue = "done";
-static const char *const BodyLeftOutHeader = "X-Answer-Left-Out";
+static const char *const BodyOmittedHeader = "X-Answer-Left-Out";
 
 namespace {
 
-/// How a refusal looks to callers.
-struct Rendering {
+/// The fields of the problem document for a refusal reason.
+struct ProblemTemplate {
   RefusalReason Reason;
   int Status;
   const char *Type;
@@ -22,8 +22,8 @@
 
 } // namespace
 
-// In the order of the enum; a test holds them together.
-static const Rendering Renderings[] = {
+// In the order of RefusalReason; a test checks the order.
+static const ProblemTemplate ProblemTemplates[] = {
     {RefusalReason::None, 500, "internal", "the call has no answer"},
     {RefusalReason::Overloaded, 503, "overloaded",
      "every place for calls is taken"},
@@ -49,7 +49,7 @@
 };
 
 const char *toText(RefusalReason reason) {
-  return Renderings[static_cast<std::size_t>(reason)].Type;
+  return ProblemTemplates[static_cast<std::size_t>(reason)].Type;
 }
 
 static Outcome toOutcome(CallOutcome outcome) {
@@ -74,8 +74,10 @@
 
 HttpResponse renderDeskCall(const DeskCallAnswer &answer) {
   if (answer.Outcome != CallOutcome::Done) {
-    const Rendering &how = Renderings[static_cast<std::size_t>(answer.Reason)];
-    return renderProblem(Problem(how.Status, how.Type, how.Detail,
+    const ProblemTemplate &problemTemplate =
+        ProblemTemplates[static_cast<std::size_t>(answer.Reason)];
+    return renderProblem(Problem(problemTemplate.Status, problemTemplate.Type,
+                                 problemTemplate.Detail,
                                  toOutcome(answer.Outcome), answer.RetryAfter));
   }
   HttpResponse out;
@@ -83,19 +85,19 @@
   out.Body = answer.Body;
   out.Headers.push_back({OutcomeHeader, DoneValue});
   if (!answer.HasBody)
-    out.Headers.push_back({BodyLeftOutHeader, "1"});
+    out.Headers.push_back({BodyOmittedHeader, "1"});
   return out;
 }
 
 static RefusalReason parseReason(const std::string &type) {
-  for (const Rendering &it : Renderings)
+  for (const ProblemTemplate &it : ProblemTemplates)
     if (it.Type == type)
       return it.Reason;
   return RefusalReason::None;
 }
 
-// Reads a problem document or the answer to a query. Anything else, such as
-// the page of a process that isn't a daemon, reads as unknown.
+// Parses a problem document or the response to a query. Anything else, such as
+// a page from a process that is not a daemon, counts as unknown.
 static DeskCallAnswer parseDocument(const std::string &text) {
   DeskCallAnswer answer;
   try {
@@ -119,10 +121,10 @@
             RefusalReason::None,
             reply.Status,
             reply.Body,
-            !hasHeader(reply.Headers, BodyLeftOutHeader),
+            !hasHeader(reply.Headers, BodyOmittedHeader),
             {}};
   DeskCallAnswer answer = parseDocument(reply.Body);
-  // Without the header this is no desk's answer.
+  // Without the header the response does not originate from a desk.
   if (answer.Outcome == CallOutcome::Done)
     return {};
   return answer;
--- a/Libraries/LibCaller/DeskCallReply.h
+++ b/Libraries/LibCaller/DeskCallReply.h
@@ -6,28 +6,29 @@
 
 namespace sorrelbay {
 
-/// Set to "done" on a desk's own answer, so that its status can't be taken for
-/// one of ours.
+/// Set to "done" on a response that originates from a desk, so that its status
+/// is not taken for a status of the daemon.
 constexpr const char *OutcomeHeader = "X-Outcome";
 
-/// The word for the reason in answers and logs.
+/// The name of the reason in responses and logs.
 const char *toText(RefusalReason reason);
 
-/// The answer of `POST /v1/desk/{operation}` for a call that may not be
-/// repeated: the desk's own, or a problem document with outcome and reason.
+/// The response to `POST /v1/desk/{operation}` for a call that must not be
+/// repeated: the response of the desk, or a problem document with outcome and
+/// reason.
 HttpResponse renderDeskCall(const DeskCallAnswer &answer);
 
-/// The inverse, for a daemon that has handed the call to another. What isn't
-/// an answer of that form counts as unknown.
+/// Parses such a response, for a daemon that forwarded the call to another
+/// daemon. A response in any other form counts as unknown.
 DeskCallAnswer parseDeskCall(const HttpReply &reply);
 
-/// The answer of `GET /v1/calls/{key}`: a JSON document with the outcome, the
-/// desk's status and answer if it is done, and the last attempt that "not run"
-/// covers.
+/// The response to `GET /v1/calls/{key}`: a JSON document with the outcome, the
+/// status and the answer of the desk if it is done, and the last attempt to
+/// which "not run" applies.
 HttpResponse renderCallQuery(const CallId &call, CallAttempt attempt,
                              const DeskCallAnswer &answer);
 
-/// The inverse; what isn't a document of that form counts as unknown.
+/// Parses such a document; any other form counts as unknown.
 DeskCallAnswer parseCallQuery(const HttpReply &reply);
 
 } // namespace sorrelbay
--- a/Libraries/LibCaller/Problem.cpp
+++ b/Libraries/LibCaller/Problem.cpp
@@ -24,7 +24,7 @@
 
 Problem Problem::withElsewhere(std::vector<std::string> addresses) const {
   Problem out = *this;
-  out.Elsewhere = std::move(addresses);
+  out.OtherAddresses = std::move(addresses);
   return out;
 }
 
--- a/Libraries/LibCaller/Problem.h
+++ b/Libraries/LibCaller/Problem.h
@@ -9,22 +9,22 @@
 
 namespace sorrelbay {
 
-/// What a caller may believe about a call that got no answer of its own.
+/// Whether a call ran for which the response of an upstream is not available.
 enum class Outcome {
   /// The call has not run and will not run.
   NotRun,
-  /// It may have run; the caller must look before it sends anything anew.
+  /// The call may have run; the caller must query the outcome before it sends
+  /// the call again with a new key.
   Unknown,
-  /// It ran; the answer is in the body or can be asked for.
+  /// The call ran; the answer is in the body or can be queried.
   Done,
 };
 
-/// The name of the outcome on the wire.
+/// The name of the outcome in responses.
 const char *describe(Outcome outcome);
 
-/// A problem as it is answered to a caller (RFC 9457,
-/// `application/problem+json`). Thrown by handlers and turned into the final
-/// answer at the edge, at once.
+/// A problem that is sent to a caller (RFC 9457, `application/problem+json`).
+/// Handlers throw it, and the server converts it to the final response.
 class Problem : public Error {
 public:
   Problem(int status, std::string type, std::string detail, Outcome outcome,
@@ -33,11 +33,12 @@
   int status() const { return Status; }
   const std::string &type() const { return Type; }
   Outcome outcome() const { return Result; }
-  /// When to come back, if coming back may help.
+  /// The delay after which a retry may succeed; nothing if a retry cannot help.
   const std::optional<Duration> &retryAfter() const { return RetryAfterDelay; }
-  /// Other daemons that the caller may go to at once, "ip:port" each.
-  const std::vector<std::string> &elsewhere() const { return Elsewhere; }
-  /// The same problem with those addresses.
+  /// The addresses of other daemons that the caller may use at once, "ip:port"
+  /// each.
+  const std::vector<std::string> &elsewhere() const { return OtherAddresses; }
+  /// A copy of the problem with these addresses.
   Problem withElsewhere(std::vector<std::string> addresses) const;
 
 private:
@@ -45,12 +46,12 @@
   std::string Type;
   Outcome Result;
   std::optional<Duration> RetryAfterDelay;
-  std::vector<std::string> Elsewhere;
+  std::vector<std::string> OtherAddresses;
 };
 
-/// The problem as an HTTP answer, with `Retry-After` in whole seconds (rounded
-/// up) and, exactly, `retry_after_ms` in the body; other daemons' addresses are
-/// in `addresses`.
+/// The problem as an HTTP response, with `Retry-After` in whole seconds
+/// (rounded up) and the exact delay as `retry_after_ms` in the body.
+/// FIXME: The addresses of other daemons are not part of the response.
 HttpResponse renderProblem(const Problem &problem);
 
 } // namespace sorrelbay
--- a/Libraries/LibCaller/RefusalOutcome.h
+++ b/Libraries/LibCaller/RefusalOutcome.h
@@ -4,10 +4,11 @@
 
 namespace sorrelbay {
 
-/// What a refusal may say of a call without having asked the ledger. Another
-/// attempt of the same key may have run or be running elsewhere, so "not run"
-/// is said only of a declared first attempt and of calls without a key or with
-/// one that no daemon would take; never in answer to a query.
+/// The outcome that a refusal states without a lookup in the ledger. Another
+/// attempt with the same key may have run or be in flight at another host, so
+/// the outcome is "not run" only for a declared first attempt and for a call
+/// without a key or with a key that every daemon refuses as too long; never in
+/// a response to a query.
 Outcome refusalOutcome(const HttpRequest &request);
 
 } // namespace sorrelbay
--- a/Libraries/LibCloud/CloudNotices.cpp
+++ b/Libraries/LibCloud/CloudNotices.cpp
@@ -29,7 +29,7 @@
   try {
     const HttpReply reply = sendOnce(platform, call);
     if (reply.Status != StatusOk)
-      throw CloudUnavailable("the cloud API answered " +
+      throw CloudUnavailable("the cloud API responded with status " +
                              std::to_string(reply.Status));
     for (const Json &it : Json::parse(reply.Body))
       out.push_back(parseNotice(it));
--- a/Libraries/LibCloud/CloudNotices.h
+++ b/Libraries/LibCloud/CloudNotices.h
@@ -8,23 +8,23 @@
 
 namespace sorrelbay {
 
-/// The cloud API can't be reached or its answer isn't readable.
+/// The cloud API is unreachable or its response is malformed.
 class CloudUnavailable : public Error {
 public:
   using Error::Error;
 };
 
-/// The cloud takes a host back.
+/// A notice that the cloud is about to reclaim a host.
 struct ReclaimNotice {
-  /// Grows by one a notice.
+  /// Incremented by one with each notice.
   std::uint64_t Sequence = 0;
-  /// The address, "ip:port", of what runs on the host.
+  /// The address, "ip:port", of the process on the host.
   std::string Address;
   Instant ReclaimAt{};
 };
 
-/// The notices after the known one; waits up to the patience for a first one.
-/// Throws CloudUnavailable.
+/// Fetches the notices with a sequence number above the known one; if there is
+/// none yet, waits for one up to waitLimit. Throws CloudUnavailable.
 std::vector<ReclaimNotice> fetchReclaimNotices(const std::string &platform,
                                                std::uint64_t known,
                                                Duration waitLimit);
--- a/Libraries/LibDesk/DeskClient.cpp
+++ b/Libraries/LibDesk/DeskClient.cpp
@@ -6,7 +6,7 @@
 static constexpr Duration ConnectTimeout = milliseconds(500);
 static constexpr int StatusTooMany = 429;
 static constexpr int StatusUnavailable = 503;
-/// A desk that rejects a call without running it says so in this header.
+/// A desk sets this header if it rejected a call without running it.
 static const char *const RejectedHeader = "X-Not-Run";
 
 DeskAnswer callDesk(const UpstreamId &upstream, const DeskRequest &request) {
@@ -30,11 +30,12 @@
     throw DeskOutcomeUnknown(error.what());
   }
   if (headerValue(reply.Headers, "X-Request-Id") != request.RequestId)
-    throw DeskOutcomeUnknown("the answer is for another request");
+    throw DeskOutcomeUnknown("the response is for another request");
   const bool isRefusal =
       reply.Status == StatusTooMany || reply.Status == StatusUnavailable;
   if (isRefusal && hasHeader(reply.Headers, RejectedHeader))
-    throw DeskRejected("the desk answered " + std::to_string(reply.Status));
+    throw DeskRejected("the desk rejected the call with status " +
+                       std::to_string(reply.Status));
   return {reply.Status, reply.Body};
 }
 
--- a/Libraries/LibDesk/DeskClient.h
+++ b/Libraries/LibDesk/DeskClient.h
@@ -7,39 +7,43 @@
 
 namespace sorrelbay {
 
-/// The desk ran nothing: the connection was refused, or it says itself that it
-/// rejected the call. Another replica may be tried.
+/// The desk has not run the call: the connection was refused, or the desk
+/// reported that it rejected the call. Another replica may be tried.
 class DeskRejected : public Error {
 public:
   using Error::Error;
 };
 
-/// Bytes may have left and no answer came: the desk may have run the call.
+/// The call may have been sent and no valid response was received: the desk may
+/// have run it.
 class DeskOutcomeUnknown : public Error {
 public:
   using Error::Error;
 };
 
-/// One call of a desk operation.
+/// A call of a desk operation.
 struct DeskRequest {
-  /// Checked against the answer, so that a crossed answer is never taken.
+  /// Compared with the id in the response, so that a response to another
+  /// request is never accepted.
   std::string RequestId;
   RouteId Operation;
   TeamId FromTeam;
   IdempotencyKey Key;
   std::string Body;
   TraceContext Trace;
+  /// The longest time without a received byte while the response is awaited;
+  /// beyond it the outcome is unknown.
   Duration Timeout = seconds(5);
 };
 
-/// A desk's answer to exactly that request.
+/// The response of a desk to the request.
 struct DeskAnswer {
   int Status = 0;
   std::string Body;
 };
 
 /// Sends the call over a connection of its own. Throws DeskRejected or
-/// DeskOutcomeUnknown; an answer for another request counts as the latter.
+/// DeskOutcomeUnknown; a response to another request counts as the latter.
 DeskAnswer callDesk(const UpstreamId &upstream, const DeskRequest &request);
 
 } // namespace sorrelbay
--- a/Libraries/LibEngine/EngineClient.cpp
+++ b/Libraries/LibEngine/EngineClient.cpp
@@ -42,29 +42,30 @@
   return call;
 }
 
-/// Takes server-sent events apart; bytes come in pieces of any size.
+/// Parses server-sent events from data that arrives in parts of any size.
 class EventReader {
 public:
   using OnEvent = std::function<bool(const Json &)>;
 
-  bool take(std::string_view data, const OnEvent &onEvent) {
+  bool appendData(std::string_view data, const OnEvent &onEvent) {
     Buffer.append(data);
     std::size_t start = 0;
     while (true) {
       const std::size_t end = Buffer.find("\n\n", start);
       if (end == std::string::npos)
         break;
-      if (!takeEvent(Buffer.data() + start, Buffer.data() + end, onEvent))
+      if (!processEvent(Buffer.data() + start, Buffer.data() + end, onEvent))
         return false;
       start = end + 2;
     }
     Buffer.erase(0, start);
     return true;
   }
-  bool isDone() const { return SawDone; }
+  bool isDone() const { return HasSeenDone; }
 
 private:
-  bool takeEvent(const char *begin, const char *end, const OnEvent &onEvent) {
+  bool processEvent(const char *begin, const char *end,
+                    const OnEvent &onEvent) {
     static const std::string_view field = "data: ";
     const std::string_view event(begin, static_cast<std::size_t>(end - begin));
     const std::size_t at = event.find(field);
@@ -72,17 +73,17 @@
       return true;
     const std::string_view data = event.substr(at + field.size());
     if (data == "[DONE]") {
-      SawDone = true;
+      HasSeenDone = true;
       return true;
     }
     const Json json = Json::parse(data, nullptr, false);
     if (!json.is_object())
-      throw EngineFailed("an event is not a JSON object");
+      throw EngineFailed("a stream event is not a JSON object");
     return onEvent(json);
   }
 
   std::string Buffer;
-  bool SawDone = false;
+  bool HasSeenDone = false;
 };
 
 EngineToken toToken(const Json &event) {
@@ -111,40 +112,45 @@
 
 EngineStream::EngineStream(const UpstreamId &upstream,
                            const EngineRequest &request)
-    : Line(std::make_unique<HttpStream>(upstream.text(), toCall(request))) {}
+    : ResponseStream(
+          std::make_unique<HttpStream>(upstream.text(), toCall(request))) {}
 
 EngineStream::~EngineStream() = default;
 
-void EngineStream::cancel() { Line->cancel(); }
+void EngineStream::cancel() { ResponseStream->cancel(); }
 
 std::unique_ptr<EngineEnd> EngineStream::run(const OnToken &onToken) {
   std::unique_ptr<EngineEnd> end;
   EventReader reader;
   int status = 0;
-  bool wasEnded = false;
+  bool wasStopped = false;
   const auto onEvent = [&](const Json &event) {
     if (!event.contains("choices") || !event["choices"].is_array() ||
         event["choices"].empty())
-      throw EngineFailed("an event has no choice");
+      throw EngineFailed("a stream event has no choices");
     if (isEnd(event)) {
       end = std::make_unique<EngineEnd>(toEnd(event));
       return true;
     }
-    wasEnded = !onToken(toToken(event));
-    return !wasEnded;
+    wasStopped = !onToken(toToken(event));
+    return !wasStopped;
   };
   try {
-    const bool isWhole = Line->run(
+    const bool isWhole = ResponseStream->run(
         [&status](const HttpReply &reply) {
           status = reply.Status;
           return reply.Status == StatusOk;
         },
-        [&](std::string_view data) { return reader.take(data, onEvent); });
+        [&](std::string_view data) {
+          return reader.appendData(data, onEvent);
+        });
     if (status == StatusTooMany || status == StatusUnavailable)
-      throw EngineRefused("the engine answered " + std::to_string(status));
+      throw EngineRefused("the engine responded with status " +
+                          std::to_string(status));
     if (status != StatusOk && status != 0)
-      throw EngineFailed("the engine answered " + std::to_string(status));
-    if (!isWhole || wasEnded)
+      throw EngineFailed("the engine responded with status " +
+                         std::to_string(status));
+    if (!isWhole || wasStopped)
       return nullptr;
   } catch (const HttpNotSent &error) {
     throw EngineRefused(error.what());
@@ -154,7 +160,8 @@
     throw EngineFailed(error.what());
   }
   if (!end || !reader.isDone())
-    throw EngineFailed("the stream ended without its length");
+    throw EngineFailed(
+        "the stream ended without an event that states its length");
   return end;
 }
 
@@ -168,7 +175,8 @@
   try {
     HttpReply reply = sendOnce(upstream.text(), call);
     if (reply.Status != StatusOk)
-      throw EngineFailed(path + " answered " + std::to_string(reply.Status));
+      throw EngineFailed(path + " responded with status " +
+                         std::to_string(reply.Status));
     return reply;
   } catch (const HttpNotSent &error) {
     throw EngineFailed(error.what());
@@ -203,7 +211,8 @@
     callEngine(upstream, "POST", "/v1/requests/" + requestId + "/cancel",
                timeout);
   } catch (const EngineFailed &) {
-    // The engine drops the work anyway once its connection closes.
+    // The engine stops the work anyway once the connection of the request
+    // closes.
   }
 }
 
@@ -213,7 +222,7 @@
       upstream, "POST", "/v1/requests/" + requestId + "/cache", timeout);
   const Json json = Json::parse(reply.Body, nullptr, false);
   if (!json.is_object() || !json.contains("cache_handle"))
-    throw EngineFailed("the cache's export gave no handle");
+    throw EngineFailed("the export of the KV cache returned no handle");
   return json["cache_handle"].get<std::string>();
 }
 
--- a/Libraries/LibEngine/EngineClient.h
+++ b/Libraries/LibEngine/EngineClient.h
@@ -13,63 +13,68 @@
 
 class HttpStream;
 
-/// The engine took nothing of this attempt: connection refused, or it says
-/// that it is full or leaving. Another engine may be tried at once.
+/// The engine did not start the attempt: the connection was refused, or the
+/// engine reported that it is full or leaving. Another engine may be tried at
+/// once.
 class EngineRefused : public Error {
 public:
   using Error::Error;
 };
 
-/// The attempt broke after it began: an error answer, a lost or silent
+/// The attempt failed after it started: an error response, a lost or silent
 /// connection, or an end without a stated length.
 class EngineFailed : public Error {
 public:
   using Error::Error;
 };
 
-/// The attempt's connection broke or fell silent. The engine itself may be
-/// well.
+/// The connection of the attempt broke or became silent. The engine itself may
+/// be healthy.
 class EngineConnectionLost : public EngineFailed {
 public:
   using EngineFailed::EngineFailed;
 };
 
-/// One attempt at one request.
+/// An attempt at a request.
 struct EngineRequest {
   std::string RequestId;
-  /// New for every attempt; every token carries it back.
+  /// Unique to each attempt; every token contains it.
   std::string AttemptId;
   ServiceId Model;
-  /// The route, by which engines count and test installations may differ.
+  /// The route of the call; engines count requests by route, and test
+  /// installations may behave differently by route.
   RouteId OnRoute;
   /// The messages as the caller sent them, a JSON array.
   std::string MessagesJson;
   std::uint64_t MaxTokens = 0;
   int Priority = 0;
-  /// The tokens that the caller has already; the engine goes on after them.
+  /// The tokens that the caller already received; the engine continues after
+  /// them.
   std::vector<std::string> Prefix;
-  /// A handle from exportCache on another engine, or empty.
+  /// A handle from exportCache on another engine; empty if there is none.
   std::string CacheHandle;
   TraceContext Trace;
-  /// The longest silence that is borne between tokens, and before the first.
+  /// The longest time between two tokens, and before the first one; beyond it
+  /// the attempt fails with EngineConnectionLost.
   Duration Silence = seconds(5);
 };
 
-/// One token with its place in the whole answer.
+/// A token and its offset in the whole answer.
 struct EngineToken {
   std::string AttemptId;
   std::uint64_t Offset = 0;
   std::string Text;
 };
 
-/// The end of an attempt that is whole: the stated length of the answer.
+/// The end of a complete attempt, with the stated length of the answer in
+/// tokens.
 struct EngineEnd {
   std::string AttemptId;
   std::uint64_t Length = 0;
   std::string FinishReason;
 };
 
-/// What an engine says of itself; it lags.
+/// The load report of an engine; it lags behind the actual load.
 struct EngineLoad {
   VersionId Version;
   std::uint64_t OpenStreams = 0;
@@ -79,7 +84,7 @@
   Instant ReportedAt{};
 };
 
-/// One streamed answer from one engine.
+/// A streamed response of an engine.
 class EngineStream {
 public:
   EngineStream(const UpstreamId &upstream, const EngineRequest &request);
@@ -87,29 +92,29 @@
   EngineStream(const EngineStream &) = delete;
   EngineStream &operator=(const EngineStream &) = delete;
 
-  /// False ends the stream.
+  /// Called with each token; returns false to stop the stream.
   using OnToken = std::function<bool(const EngineToken &)>;
 
-  /// Reads to the end. Returns the end, or nothing if the hook or cancel()
-  /// ended it. Throws EngineRefused or EngineFailed.
+  /// Reads the stream to its end. Returns the end, or null if the hook or
+  /// cancel() stopped the stream. Throws EngineRefused or EngineFailed.
   std::unique_ptr<EngineEnd> run(const OnToken &onToken);
-  /// Ends the stream soon, from any thread.
+  /// Stops the stream, from any thread.
   void cancel();
 
 private:
-  std::unique_ptr<HttpStream> Line;
+  std::unique_ptr<HttpStream> ResponseStream;
 };
 
-/// Asks the engine for its load. Throws EngineFailed.
+/// Fetches the load report of the engine. Throws EngineFailed.
 EngineLoad fetchEngineLoad(const UpstreamId &upstream, Duration timeout);
 
-/// Tells the engine to stop working on a request; its answer is not awaited
-/// for longer than the timeout and its failure is of no consequence.
+/// Requests that the engine stop working on a request. Waits for the response
+/// up to the timeout and ignores a failure.
 void cancelEngineRequest(const UpstreamId &upstream,
                          const std::string &requestId, Duration timeout);
 
-/// Asks for the KV cache of a request to be made ready for another engine.
-/// Returns the handle that importing needs. Throws EngineFailed.
+/// Requests that the engine export the KV cache of a request to another engine.
+/// Returns the handle for the import. Throws EngineFailed.
 std::string exportCache(const UpstreamId &upstream,
                         const std::string &requestId, Duration timeout);
 
--- a/Libraries/LibHostList/HostList.cpp
+++ b/Libraries/LibHostList/HostList.cpp
@@ -16,7 +16,7 @@
     return HostRole::Engine;
   if (text == "desk")
     return HostRole::Desk;
-  throw HostListUnavailable("unknown role " + text);
+  throw HostListUnavailable("unknown host role: " + text);
 }
 
 static HostListEntry parseEntry(const Json &json) {
@@ -42,7 +42,7 @@
     try {
       out.push_back(parseEntry(it));
     } catch (const std::exception &error) {
-      LogLine(Severity::Warning, "host list entry passed over")
+      LogLine(Severity::Warning, "skipped a malformed entry of the host list")
           .field("error", error.what());
     }
   }
@@ -62,7 +62,7 @@
     throw HostListUnavailable(error.what());
   }
   if (reply.Status != StatusOk)
-    throw HostListUnavailable("the host list answered " +
+    throw HostListUnavailable("the request for the host list returned status " +
                               std::to_string(reply.Status));
   return parseHostList(reply.Body);
 }
--- a/Libraries/LibHostList/HostList.h
+++ b/Libraries/LibHostList/HostList.h
@@ -8,7 +8,7 @@
 
 namespace sorrelbay {
 
-/// The host list can't be had or isn't readable.
+/// The host list is unavailable or malformed.
 class HostListUnavailable : public Error {
 public:
   using Error::Error;
@@ -16,28 +16,30 @@
 
 enum class HostRole { Entry, Engine, Desk };
 
-/// One line of the platform's host list, which lags behind the facts.
+/// An entry of the host list of the platform, which lags behind the actual
+/// state.
 struct HostListEntry {
-  /// Where the process on the host listens, "ip:port".
+  /// The address that the process on the host listens on, "ip:port".
   std::string Address;
-  /// For entry hosts: where their peers reach them. Empty otherwise.
+  /// For entry hosts: the address for connections from peers. Empty otherwise.
   std::string PeerAddress;
   HostRole Role = HostRole::Engine;
   ZoneId Zone;
   ServiceId Service;
   VersionId Version;
   bool IsLeaving = false;
-  /// When the host goes, if it is leaving; the epoch if that isn't known.
+  /// The time at which the host leaves, if it is leaving; the epoch if that is
+  /// unknown.
   Instant LeavesAt{};
 };
 
-/// Reads the list from the platform at "ip:port". Throws HostListUnavailable.
+/// Fetches the list from the platform at "ip:port". Throws HostListUnavailable.
 std::vector<HostListEntry> fetchHostList(const std::string &platform,
                                          Duration timeout);
 
-/// Parses the list's JSON; entries that can't be read are passed over, since
-/// one bad line must not blind the system to all hosts. Throws
-/// HostListUnavailable when it is no list at all.
+/// Parses the JSON of the list. Malformed entries are skipped, because one of
+/// them must not hide all hosts. Throws HostListUnavailable if the text is not
+/// a list.
 std::vector<HostListEntry> parseHostList(const std::string &json);
 
 } // namespace sorrelbay
--- a/Tests/LibBase/TestTomlReader.cpp
+++ b/Tests/LibBase/TestTomlReader.cpp
@@ -11,7 +11,7 @@
 struct FaultRow {
   const char *Name;
   const char *Text;
-  const char *Wanted;
+  const char *ExpectedMessage;
 };
 
 std::ostream &operator<<(std::ostream &out, const FaultRow &row) {
@@ -39,10 +39,10 @@
   TomlReader reader = TomlReader::parse(row.Text, "s.toml");
   reader.requiredInteger("port", 0, 65535);
   reader.table("peer").text("host", "");
-  BOOST_CHECK_EXCEPTION(reader.finish(), TomlError,
-                        [&row](const TomlError &error) {
-                          return std::string(error.what()) == row.Wanted;
-                        });
+  BOOST_CHECK_EXCEPTION(
+      reader.finish(), TomlError, [&row](const TomlError &error) {
+        return std::string(error.what()) == row.ExpectedMessage;
+      });
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Tests/LibCaller/TestDeskCallReply.cpp
+++ b/Tests/LibCaller/TestDeskCallReply.cpp
@@ -13,9 +13,9 @@
 
 static const int AllReasons = static_cast<int>(RefusalReason::DeadlinePassed);
 
-// A daemon hands a call to the owner of its ticket and passes the answer on;
-// what is lost on that way the caller never hears.
-BOOST_DATA_TEST_CASE(desk_call_refusal_survives_its_way,
+// A daemon forwards a call to the owner of its ticket and returns the response.
+// A field lost in the conversion would never reach the caller.
+BOOST_DATA_TEST_CASE(desk_call_refusal_survives_a_round_trip,
                      data::xrange(AllReasons + 1) *
                          data::make({CallOutcome::NotRun,
                                      CallOutcome::Unknown}),
@@ -45,13 +45,14 @@
 }
 } // namespace sorrelbay
 
-BOOST_DATA_TEST_CASE(desk_call_answer_survives_its_way, data::make(DoneRows),
-                     answer) {
-  const DeskCallAnswer called = parseDeskCall(asReply(renderDeskCall(answer)));
+BOOST_DATA_TEST_CASE(desk_call_answer_survives_a_round_trip,
+                     data::make(DoneRows), answer) {
+  const DeskCallAnswer fromCall =
+      parseDeskCall(asReply(renderDeskCall(answer)));
   const CallId call{TeamId("crew"), IdempotencyKey("visit-1")};
-  const DeskCallAnswer asked =
+  const DeskCallAnswer fromQuery =
       parseCallQuery(asReply(renderCallQuery(call, 1, answer)));
-  for (const DeskCallAnswer &it : {called, asked}) {
+  for (const DeskCallAnswer &it : {fromCall, fromQuery}) {
     BOOST_CHECK(it.Outcome == CallOutcome::Done);
     BOOST_TEST(it.Status == answer.Status);
     BOOST_TEST(it.Body == answer.Body);
@@ -67,7 +68,7 @@
     {200, {}, "{\"outcome\":7}"},
 };
 
-// Something that isn't a daemon answers at the owner's address.
+// A process that is not a daemon responds at the address of the owner.
 BOOST_AUTO_TEST_CASE(desk_call_odd_reply_counts_as_unknown) {
   for (const HttpReply &it : OddReplies)
     BOOST_CHECK(parseDeskCall(it).Outcome == CallOutcome::Unknown);
@@ -90,7 +91,7 @@
     {"/v1/calls/visit-1", "", "1", Outcome::Unknown},
 };
 
-BOOST_AUTO_TEST_CASE(refusal_speaks_of_the_key_and_not_of_the_attempt) {
+BOOST_AUTO_TEST_CASE(refusal_outcome_covers_the_key_and_not_the_attempt) {
   for (const RefusalRow &row : RefusalRows) {
     HttpRequest request;
     request.Path = row.Path;
--- a/Tests/platform/TestTranslation.cpp
+++ b/Tests/platform/TestTranslation.cpp
@@ -48,7 +48,7 @@
 BOOST_AUTO_TEST_SUITE(translation)
 
 BOOST_AUTO_TEST_CASE(a_configuration_becomes_a_plan) {
-  const ServingPlan plan = planFrom(nlohmann::json::parse(Config));
+  const ServingPlan plan = parseServingPlan(nlohmann::json::parse(Config));
   BOOST_TEST(plan.Version == 7U);
   BOOST_REQUIRE(plan.Routes.size() == 4U);
   BOOST_TEST(plan.Routes[0].IsStream);
@@ -71,9 +71,9 @@
   BOOST_TEST((plan.Limits.IdleTimeout == seconds(15)));
 }
 
-// An entry may come from another writer. Taken for a replica with made-up
-// fields, it would get calls; taken for a fault of the whole view, all others
-// would be lost with it.
+// An entry may be written by a component other than an upstream. Read with
+// default fields it would receive calls; treated as an error of the whole
+// listing it would hide all other upstreams.
 BOOST_AUTO_TEST_CASE(entries_that_can_not_be_read_name_no_upstream) {
   const std::pair<const char *, const char *> changes[] = {
       {"Service", "7"},     {"Service", "null"},  {"Address", "[]"},
@@ -81,22 +81,22 @@
       {"Spot", "3"},        {"ColdLeftMs", "-5"}, {"ColdLeftMs", "\"x\""}};
   const auto good = nlohmann::json::parse(
       R"({"Service":"s","Address":"10.0.0.1:8","Zone":"z","Version":"v1","Slots":48,"State":"ready","Seq":4})");
-  BOOST_TEST(replicaFrom("i", good).Slots == 48);
-  BOOST_TEST((replicaFrom("i", good).ColdDuration == Duration::zero()));
+  BOOST_TEST(parseReplica("i", good).Slots == 48);
+  BOOST_TEST((parseReplica("i", good).ColdDuration == Duration::zero()));
   auto cold = good;
   cold["ColdLeftMs"] = 1500;
-  BOOST_TEST((replicaFrom("i", cold).ColdDuration == milliseconds(1500)));
+  BOOST_TEST((parseReplica("i", cold).ColdDuration == milliseconds(1500)));
   for (const auto &[key, value] : changes) {
     auto bad = good;
     bad[key] = nlohmann::json::parse(value);
-    BOOST_CHECK_THROW(replicaFrom("i", bad), ObjectMalformed);
+    BOOST_CHECK_THROW(parseReplica("i", bad), ObjectMalformed);
   }
-  BOOST_CHECK_THROW(replicaFrom("i", nlohmann::json("text")), ObjectMalformed);
-  BOOST_CHECK_THROW(planFrom(nlohmann::json::array()), ObjectMalformed);
+  BOOST_CHECK_THROW(parseReplica("i", nlohmann::json("text")), ObjectMalformed);
+  BOOST_CHECK_THROW(parseServingPlan(nlohmann::json::array()), ObjectMalformed);
 }
 
-BOOST_AUTO_TEST_CASE(a_request_says_what_it_is) {
-  const ServingCall call = callFrom(request());
+BOOST_AUTO_TEST_CASE(a_request_is_parsed_from_its_headers) {
+  const ServingCall call = parseServingCall(request());
   BOOST_TEST(call.Id == "id1");
   BOOST_TEST(call.Key == "k1");
   BOOST_TEST((call.WaitLimit == Duration(milliseconds(1500))));
@@ -107,15 +107,16 @@
   BOOST_TEST(call.Prompt[2].Tokens == 250);
 }
 
-// A caller writes another team's name, or another call's memory, into its
-// request. Passed on, it would be billed to that team or read its prompt.
+// A caller sets the headers of another team, or of the KV cache of another
+// call, in its request. Forwarded, its call would be billed to that team or
+// read the prompt of that call.
 BOOST_AUTO_TEST_CASE(an_upstream_gets_the_systems_headers_not_the_callers) {
   UpstreamAttempt attempt;
   attempt.Replica = UpstreamId("i-1");
   attempt.WaitLimit = milliseconds(1200);
   attempt.Team = TeamId("t1");
   attempt.Priority = 12;
-  const HttpCall call = upstreamCall(request(), attempt);
+  const HttpCall call = makeUpstreamCall(request(), attempt);
   const auto value = [&](const char *name) {
     return headerValue(call.Headers, name);
   };
@@ -131,7 +132,7 @@
   BOOST_TEST(call.Body == "body");
 }
 
-BOOST_AUTO_TEST_CASE(only_an_upstream_that_says_so_did_not_run_a_call) {
+BOOST_AUTO_TEST_CASE(only_an_explicit_header_or_status_marks_a_call_not_run) {
   const std::pair<HttpReplyHead, bool> cases[] = {
       {{503, {{"Not-Executed", "1"}}, {}}, true},
       {{421, {{"Instance-Id", "x"}}, {}}, true},
@@ -139,7 +140,7 @@
       {{429, {}, {}}, false},
       {{500, {}, {}}, false}};
   for (const auto &[head, isNotRun] : cases)
-    BOOST_TEST(replyInfoFrom(head).IsNotRun == isNotRun);
+    BOOST_TEST(parseUpstreamReplyInfo(head).IsNotRun == isNotRun);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
