--- a/Libraries/LibEngine/EngineClient.h
+++ b/Libraries/LibEngine/EngineClient.h
@@ -113,8 +113,8 @@
 void cancelEngineRequest(const UpstreamId &upstream,
                          const std::string &requestId, Duration timeout);
 
-/// Requests that the engine export the KV cache of a request to another engine.
-/// Returns the handle for the import. Throws EngineFailed.
+/// Requests that the engine prepare the KV cache of a request for import by
+/// another engine. Returns the handle for the import. Throws EngineFailed.
 std::string exportCache(const UpstreamId &upstream,
                         const std::string &requestId, Duration timeout);
 
--- a/Tests/LibHttp/TestAsyncHttp.cpp
+++ b/Tests/LibHttp/TestAsyncHttp.cpp
@@ -35,7 +35,8 @@
     return out;
   }
 
-  /// Runs the event loop until the condition holds; fails after 20 s.
+  /// Runs the event loop until the condition holds; fails after 20 s, which is
+  /// enough on a slow machine.
   void runUntil(const std::function<bool()> &holds) {
     const auto limit =
         std::chrono::steady_clock::now() + std::chrono::seconds(20);
