--- a/Tests/Fakes/FakeEngine.cpp
+++ b/Tests/Fakes/FakeEngine.cpp
@@ -11,8 +11,7 @@
                                     "shed ", "fan ",    "crew ",   "order ",
                                     "área ", "suelo\n", "\"m2\" ", "aria "};
 static constexpr std::uint64_t BytesPerToken = 4;
-/// A cache handle names the engine-independent state of a request; importing
-/// it costs nothing to compute.
+/// Prefix of a cache handle. A request that imports a cache skips the prefill.
 static const char *const HandlePrefix = "cache-of-";
 
 std::string fakeToken(const std::string &messagesJson, std::uint64_t n) {
@@ -20,7 +19,7 @@
   return Words[hash % (sizeof(Words) / sizeof(Words[0]))];
 }
 
-struct FakeEngine::Work {
+struct FakeEngine::StreamJob {
   std::string RequestId;
   std::string AttemptId;
   std::string Route;
@@ -40,12 +39,13 @@
   return out;
 }
 
-bool FakeEngine::shouldFail(const Work &work) {
-  if (!Options.FaultRoute.empty() && Options.FaultRoute != work.Route)
+bool FakeEngine::shouldFail(const StreamJob &streamJob) {
+  if (!Options.FaultRoute.empty() && Options.FaultRoute != streamJob.Route)
     return false;
-  if (OpenStreams < Options.FaultFromOpen)
+  if (OpenStreams < Options.MinStreamsForFaults)
     return false;
-  // Spread evenly and without randomness: the same run fails the same calls.
+  // Failures are spread evenly, without randomness, so that each run fails the
+  // same calls.
   const double before = static_cast<double>(RequestNumber) * Options.FailShare;
   const double after = before + Options.FailShare;
   return static_cast<std::uint64_t>(after) > static_cast<std::uint64_t>(before);
@@ -54,67 +54,68 @@
 HttpResponse FakeEngine::complete(const HttpRequest &request) {
   const Json json = Json::parse(request.Body, nullptr, false);
   if (!json.is_object() || !json.contains("messages"))
-    return jsonResponse(400, {{"error", "no messages"}});
-  Work work;
-  work.RequestId = json.value("request_id", "direct");
-  work.AttemptId = json.value("attempt_id", "direct");
-  work.Route = json.value("route", "");
-  work.Messages = json["messages"].dump();
-  work.FirstOffset = json.contains("prefix") ? json["prefix"].size() : 0;
-  work.HasCache = !json.value("cache_handle", "").empty();
+    return jsonResponse(400, {{"error", "messages are missing"}});
+  StreamJob streamJob;
+  streamJob.RequestId = json.value("request_id", "direct");
+  streamJob.AttemptId = json.value("attempt_id", "direct");
+  streamJob.Route = json.value("route", "");
+  streamJob.Messages = json["messages"].dump();
+  streamJob.FirstOffset = json.contains("prefix") ? json["prefix"].size() : 0;
+  streamJob.HasCache = !json.value("cache_handle", "").empty();
   const std::lock_guard<std::mutex> lock(Mutex);
-  work.Length = json.value("max_tokens", Options.DefaultTokens);
+  streamJob.Length = json.value("max_tokens", Options.DefaultTokens);
   ++Counts["requests"];
   if (Options.IsLeaving) {
     ++Counts["requests_while_leaving"];
-    return jsonResponse(503, {{"error", "leaving"}});
+    return jsonResponse(503, {{"error", "engine is leaving"}});
   }
   if (OpenStreams >= Options.Capacity) {
     ++Counts["refused"];
-    return jsonResponse(429, {{"error", "full"}});
+    return jsonResponse(429, {{"error", "all stream slots are in use"}});
   }
-  const bool fails = shouldFail(work);
+  const bool fails = shouldFail(streamJob);
   ++RequestNumber;
   if (fails) {
     ++Counts["failed"];
-    return jsonResponse(500, {{"error", "this version is bad"}});
+    return jsonResponse(500, {{"error", "injected failure"}});
   }
-  if (work.FirstOffset > 0)
-    ++Counts[work.HasCache ? "imported" : "resumed"];
-  if (work.FirstOffset > 0 && !work.HasCache)
+  if (streamJob.FirstOffset > 0)
+    ++Counts[streamJob.HasCache ? "imported" : "resumed"];
+  if (streamJob.FirstOffset > 0 && !streamJob.HasCache)
     Counts["recomputed_tokens"] += static_cast<std::int64_t>(
-        work.FirstOffset + work.Messages.size() / BytesPerToken);
+        streamJob.FirstOffset + streamJob.Messages.size() / BytesPerToken);
   ++OpenStreams;
   HttpResponse out;
   out.ContentType = "text/event-stream";
-  out.Stream = [this, work](const HttpSink &sink) {
-    const bool isWhole = stream(work, sink);
-    const std::lock_guard<std::mutex> inner(Mutex);
+  out.Stream = [this, streamJob](const HttpSink &sink) {
+    const bool isWhole = stream(streamJob, sink);
+    const std::lock_guard<std::mutex> streamEndLock(Mutex);
     --OpenStreams;
     return isWhole;
   };
   return out;
 }
 
-bool FakeEngine::stream(const Work &work, const HttpSink &sink) {
-  FakeEngineOptions now;
+bool FakeEngine::stream(const StreamJob &streamJob, const HttpSink &sink) {
+  FakeEngineOptions activeOptions;
   std::uint64_t open = 0;
   {
     const std::lock_guard<std::mutex> lock(Mutex);
-    now = Options;
+    activeOptions = Options;
     open = OpenStreams;
   }
-  Duration first{};
-  if (!work.HasCache)
-    first += now.PrefillPerToken *
-             static_cast<std::int64_t>(work.FirstOffset +
-                                       work.Messages.size() / BytesPerToken);
-  const bool isFaulty =
-      open >= now.FaultFromOpen &&
-      (now.FaultRoute.empty() || now.FaultRoute == work.Route);
-  if (isFaulty)
-    first += now.Slowness;
-  std::this_thread::sleep_for(first);
+  Duration delayToFirstToken{};
+  if (!streamJob.HasCache)
+    delayToFirstToken +=
+        activeOptions.PrefillPerToken *
+        static_cast<std::int64_t>(streamJob.FirstOffset +
+                                  streamJob.Messages.size() / BytesPerToken);
+  const bool areFaultsActive = open >= activeOptions.MinStreamsForFaults &&
+                               (activeOptions.FaultRoute.empty() ||
+                                activeOptions.FaultRoute == streamJob.Route);
+  if (areFaultsActive)
+    delayToFirstToken += activeOptions.AddedFirstTokenDelay;
+  std::this_thread::sleep_for(delayToFirstToken);
   const auto start = std::chrono::steady_clock::now();
   const auto send = [&](std::uint64_t n, const std::string &attempt) {
     const Json event = {
@@ -122,33 +123,35 @@
         {"offset", n},
         {"choices",
          {{{"index", 0},
-           {"delta", {{"content", fakeToken(work.Messages, n)}}}}}}};
+           {"delta", {{"content", fakeToken(streamJob.Messages, n)}}}}}}};
     return sink("data: " + event.dump() + "\n\n");
   };
-  for (std::uint64_t n = work.FirstOffset; n < work.Length; ++n) {
+  for (std::uint64_t n = streamJob.FirstOffset; n < streamJob.Length; ++n) {
     {
       const std::lock_guard<std::mutex> lock(Mutex);
-      if (Cancelled.count(work.RequestId + "/" + work.AttemptId) != 0)
+      if (Cancelled.count(streamJob.RequestId + "/" + streamJob.AttemptId) != 0)
         return false;
       ++Counts["tokens"];
     }
-    if (now.TruncateAfter != 0 && n - work.FirstOffset >= now.TruncateAfter)
+    if (activeOptions.TruncateAfter != 0 &&
+        n - streamJob.FirstOffset >= activeOptions.TruncateAfter)
       return true;
-    if (now.CrossEvery != 0 && n % now.CrossEvery == 0)
-      send(n + 1, "somebody-elses");
-    if (!send(n, work.AttemptId))
+    if (activeOptions.CrossEvery != 0 && n % activeOptions.CrossEvery == 0)
+      send(n + 1, "another-attempt");
+    if (!send(n, streamJob.AttemptId))
       return false;
-    if (now.DuplicateEvery != 0 && n % now.DuplicateEvery == 0)
-      send(n, work.AttemptId);
+    if (activeOptions.DuplicateEvery != 0 &&
+        n % activeOptions.DuplicateEvery == 0)
+      send(n, streamJob.AttemptId);
     std::this_thread::sleep_until(
-        start + now.TokenInterval *
-                    static_cast<std::int64_t>(n + 1 - work.FirstOffset));
+        start + activeOptions.TokenInterval *
+                    static_cast<std::int64_t>(n + 1 - streamJob.FirstOffset));
   }
   const Json end = {
-      {"id", work.AttemptId},
+      {"id", streamJob.AttemptId},
       {"choices",
        {{{"index", 0}, {"delta", Json::object()}, {"finish_reason", "stop"}}}},
-      {"usage", {{"completion_tokens", work.Length}}}};
+      {"usage", {{"completion_tokens", streamJob.Length}}}};
   return sink("data: " + end.dump() + "\n\ndata: [DONE]\n\n");
 }
 
@@ -176,13 +179,13 @@
                       {{"cache_handle", HandlePrefix + request.Parts.at(0)}});
 }
 
-HttpResponse FakeEngine::order(const HttpRequest &request) {
+HttpResponse FakeEngine::acceptLevels(const HttpRequest &request) {
   const Json json = Json::parse(request.Body, nullptr, false);
   const std::lock_guard<std::mutex> lock(Mutex);
   const std::uint64_t fencing = json.value("fencing", std::uint64_t{0});
   if (fencing < FencingToken) {
     ++Counts["orders_refused"];
-    return jsonResponse(409, {{"error", "old fencing number"}});
+    return jsonResponse(409, {{"error", "stale fencing token"}});
   }
   FencingToken = fencing;
   OrderedLevels = json.value("levels", Json::array()).dump();
@@ -195,9 +198,10 @@
   const std::lock_guard<std::mutex> lock(Mutex);
   Options.FailShare = json.value("fail_share", Options.FailShare);
   Options.FaultRoute = json.value("fault_route", Options.FaultRoute);
-  Options.FaultFromOpen = json.value("fault_from_open", Options.FaultFromOpen);
-  Options.Slowness =
-      milliseconds(json.value("slow_ms", toMilliseconds(Options.Slowness)));
+  Options.MinStreamsForFaults =
+      json.value("fault_from_open", Options.MinStreamsForFaults);
+  Options.AddedFirstTokenDelay = milliseconds(
+      json.value("slow_ms", toMilliseconds(Options.AddedFirstTokenDelay)));
   Options.TokenInterval = milliseconds(
       json.value("token_ms", toMilliseconds(Options.TokenInterval)));
   Options.DuplicateEvery =
--- a/Tests/Fakes/FakeEngine.h
+++ b/Tests/Fakes/FakeEngine.h
@@ -10,39 +10,43 @@
 
 namespace sorrelbay {
 
-/// How a stand-in engine behaves; tests change the faults while it runs.
+/// Behaviour of a fake engine. Tests change the faults while it runs.
 struct FakeEngineOptions {
   std::string Service = "model";
   std::string Version = "v1";
   Duration TokenInterval = milliseconds(20);
-  /// Time to compute one token of the prompt that isn't cached.
+  /// Time to compute one prompt token that is not in the cache.
   Duration PrefillPerToken = microseconds(20);
   std::uint64_t Capacity = 64;
-  /// Tokens of an answer where the caller sets no limit.
+  /// Length of a response if the caller sets no limit, in tokens.
   std::uint64_t DefaultTokens = 30;
 
-  /// The share of requests that fail with status 500, by route if one is set.
+  /// Share of requests that fail with status 500, from 0 to 1.
   double FailShare = 0;
+  /// The route that faults apply to; empty for all routes.
   std::string FaultRoute;
-  /// Added before the first token.
-  Duration Slowness{};
-  /// The faults apply only while at least so many streams are open.
-  std::uint64_t FaultFromOpen = 0;
-  /// Every so-manyth token is sent twice, or carries another attempt's id; 0
-  /// for never.
+  /// Delay added before the first token.
+  Duration AddedFirstTokenDelay{};
+  /// Faults apply only while at least this many streams are open.
+  std::uint64_t MinStreamsForFaults = 0;
+  /// Every Nth token is sent twice; 0 disables the fault.
   std::uint64_t DuplicateEvery = 0;
+  /// Before every Nth token, a token with another attempt's id is sent; 0
+  /// disables the fault.
   std::uint64_t CrossEvery = 0;
-  /// The stream ends without its length after so many tokens; 0 for never.
+  /// The stream ends after this many tokens, without its final event; 0
+  /// disables the fault.
   std::uint64_t TruncateAfter = 0;
   bool IsLeaving = false;
 };
 
-/// The text of token n of the answer to these messages: the same on every
-/// engine, so that a resumed answer can be compared with an undisturbed one.
+/// The text of token n of the response to these messages. It is the same on
+/// every engine, so that a resumed response can be compared with an
+/// uninterrupted one.
 std::string fakeToken(const std::string &messagesJson, std::uint64_t n);
 
-/// A model engine's stand-in: OpenAI's streaming API with resuming, cancelling,
-/// cache export and import, load reports and orders.
+/// A fake model engine: OpenAI's streaming API with resuming, cancelling, cache
+/// export and import, load reports and commands.
 class FakeEngine {
 public:
   explicit FakeEngine(FakeEngineOptions options);
@@ -51,16 +55,18 @@
   HttpResponse load();
   HttpResponse cancel(const HttpRequest &request);
   HttpResponse exportCache(const HttpRequest &request);
-  /// Levels: the versions to hold, with a fencing number. Refused if older.
-  HttpResponse order(const HttpRequest &request);
+  /// Sets the levels, i.e. the versions to keep loaded. Rejected with status
+  /// 409 if the fencing token is older than the last one accepted.
+  HttpResponse acceptLevels(const HttpRequest &request);
   HttpResponse setFaults(const HttpRequest &request);
-  /// Requests seen, tokens computed anew for resumed requests, and the like.
+  /// Counts of requests received, tokens recomputed for resumed requests and
+  /// other events, by name.
   HttpResponse counters();
 
 private:
-  struct Work;
-  bool shouldFail(const Work &work);
-  bool stream(const Work &work, const HttpSink &sink);
+  struct StreamJob;
+  bool shouldFail(const StreamJob &streamJob);
+  bool stream(const StreamJob &streamJob, const HttpSink &sink);
 
   std::mutex Mutex;
   FakeEngineOptions Options;
--- a/Tests/Fakes/FakeMain.cpp
+++ b/Tests/Fakes/FakeMain.cpp
@@ -23,17 +23,18 @@
 int serveFake(HttpServer &server, const std::string &address) {
   std::cout << "listening " << server.start(address) << std::endl;
   const sigset_t set = stopSignals();
-  int got = 0;
-  sigwait(&set, &got);
-  // Streams that hang must not keep a stand-in alive.
+  int receivedSignal = 0;
+  sigwait(&set, &receivedSignal);
+  // Exits without joining threads, so that hanging streams do not keep the
+  // process running.
   std::cout.flush();
   _exit(0);
 }
 
 std::int64_t queryNumber(const HttpRequest &request, const char *name,
-                         std::int64_t otherwise) {
+                         std::int64_t defaultNumber) {
   const std::string text = headerValue(request.Query, name);
-  return text.empty() ? otherwise : std::atoll(text.c_str());
+  return text.empty() ? defaultNumber : std::atoll(text.c_str());
 }
 
 } // namespace sorrelbay
--- a/Tests/Fakes/FakeMain.h
+++ b/Tests/Fakes/FakeMain.h
@@ -5,16 +5,19 @@
 
 namespace sorrelbay {
 
-/// Serves until SIGTERM or SIGINT: starts the server on the address, prints
-/// "listening ip:port" on standard output and waits. Returns the exit code.
+/// Starts the server on the address, prints "listening ip:port" on standard
+/// output and waits for SIGTERM or SIGINT, which end the process with exit code
+/// 0.
 int serveFake(HttpServer &server, const std::string &address);
 
-/// Blocks SIGTERM and SIGINT in this thread and those it starts later, so that
-/// serveFake can wait for them. Called first in main.
+/// Blocks SIGTERM and SIGINT in this thread and in those it starts later, so
+/// that serveFake can wait for them. Ignores SIGPIPE. Must be called first in
+/// main.
 void blockStopSignals();
 
-/// The number in a query, or the other value.
+/// Returns the number in a query parameter, or the default value if the
+/// parameter is missing or empty.
 std::int64_t queryNumber(const HttpRequest &request, const char *name,
-                         std::int64_t otherwise);
+                         std::int64_t defaultNumber);
 
 } // namespace sorrelbay
--- a/Tests/Fakes/fake-desk-main.cpp
+++ b/Tests/Fakes/fake-desk-main.cpp
@@ -1,5 +1,5 @@
-// A desk's stand-in: runs operations, remembers each run, and can lose, delay,
-// cross or reject answers on order of a test.
+// A fake desk: runs operations and records each run. Tests can make it lose,
+// delay, misaddress or reject responses.
 #include "FakeMain.h"
 #include <CLI/CLI.hpp>
 #include <mutex>
@@ -20,13 +20,16 @@
 private:
   std::mutex Mutex;
   Json Runs = Json::array();
-  /// So many of the next calls are treated so.
-  std::int64_t LoseReplies = 0;
-  std::int64_t CrossReplies = 0;
-  std::int64_t Reject = 0;
+  /// Number of the next calls whose response is lost.
+  std::int64_t RepliesToLose = 0;
+  /// Number of the next calls whose response has another request's id.
+  std::int64_t RepliesToCross = 0;
+  /// Number of the next calls that are rejected without being run.
+  std::int64_t CallsToReject = 0;
   std::int64_t DelayMs = 0;
+  /// Share of calls that are run and end with status 500, from 0 to 1.
   double FailShare = 0;
-  std::uint64_t Number = 0;
+  std::uint64_t CallNumber = 0;
 };
 
 HttpResponse Desk::run(const HttpRequest &request) {
@@ -37,8 +40,8 @@
   {
     const std::lock_guard<std::mutex> lock(Mutex);
     delay = DelayMs;
-    if (Reject > 0) {
-      --Reject;
+    if (CallsToReject > 0) {
+      --CallsToReject;
       out.Status = 503;
       out.Headers.push_back({"X-Not-Run", "1"});
       out.Headers.push_back({"X-Request-Id", id});
@@ -52,18 +55,18 @@
                     {"confirmed", true},
                     {"number", Runs.size()}}
                    .dump();
-    const double before = static_cast<double>(Number) * FailShare;
+    const double before = static_cast<double>(CallNumber) * FailShare;
     if (static_cast<std::uint64_t>(before + FailShare) >
         static_cast<std::uint64_t>(before))
       out.Status = 500;
-    ++Number;
-    if (LoseReplies > 0) {
-      --LoseReplies;
+    ++CallNumber;
+    if (RepliesToLose > 0) {
+      --RepliesToLose;
       isLost = true;
     }
-    if (CrossReplies > 0) {
-      --CrossReplies;
-      id = "somebody-elses";
+    if (RepliesToCross > 0) {
+      --RepliesToCross;
+      id = "another-request";
     }
   }
   std::this_thread::sleep_for(milliseconds(delay));
@@ -76,9 +79,9 @@
 HttpResponse Desk::setFaults(const HttpRequest &request) {
   const Json json = Json::parse(request.Body);
   const std::lock_guard<std::mutex> lock(Mutex);
-  LoseReplies = json.value("lose_replies", LoseReplies);
-  CrossReplies = json.value("cross_replies", CrossReplies);
-  Reject = json.value("reject", Reject);
+  RepliesToLose = json.value("lose_replies", RepliesToLose);
+  RepliesToCross = json.value("cross_replies", RepliesToCross);
+  CallsToReject = json.value("reject", CallsToReject);
   DelayMs = json.value("delay_ms", DelayMs);
   FailShare = json.value("fail_share", FailShare);
   HttpResponse out;
@@ -96,9 +99,9 @@
 } // namespace
 
 int main(int argc, char **argv) {
-  CLI::App app("Stand-in for a desk.");
+  CLI::App app("Fake desk for tests.");
   std::string listen = "127.0.0.1:0";
-  app.add_option("--listen", listen, "ip:port; port 0 is chosen");
+  app.add_option("--listen", listen, "ip:port; 0 selects a free port");
   CLI11_PARSE(app, argc, argv);
   blockStopSignals();
   Desk desk;
--- a/Tests/Fakes/fake-platform-main.cpp
+++ b/Tests/Fakes/fake-platform-main.cpp
@@ -1,5 +1,5 @@
-// The platform's stand-in: object API, host list, cloud notices and offers,
-// weight store. Everything under /admin is for tests.
+// A fake platform: object API, host list, the cloud's reclaim notices and
+// offers, and weight store. Paths below /admin are for tests only.
 #include "FakeMain.h"
 #include <CLI/CLI.hpp>
 #include <condition_variable>
@@ -16,15 +16,15 @@
 constexpr std::size_t MaxBody = 1024UL * 1024;
 constexpr std::int64_t MaxWatchMs = 30'000;
 
-HttpResponse status(int code, const std::string &text) {
+HttpResponse detailResponse(int code, const std::string &text) {
   HttpResponse out;
   out.Status = code;
   out.Body = Json{{"detail", text}}.dump();
   return out;
 }
 
-/// An answer that is cut off before it is whole, so that the client can't know
-/// what became of its call.
+/// A response that ends before it is complete, so that the client cannot
+/// determine the outcome of its call.
 HttpResponse lostReply() {
   HttpResponse out;
   out.Stream = [](const HttpSink &) { return false; };
@@ -36,19 +36,22 @@
   std::uint64_t Version = 0;
 };
 
-/// What tests make the platform do wrong.
+/// Faults set by a test.
 struct Faults {
   bool IsDown = false;
   std::int64_t SlowMs = 0;
-  /// So many of the next writes take effect but lose their replies.
-  std::int64_t LoseReplies = 0;
-  /// Only writes to names with this prefix lose them.
-  std::string LosePrefix;
+  /// Number of the next writes that take effect but lose their replies.
+  std::int64_t WriteRepliesToLose = 0;
+  /// Limits WriteRepliesToLose to writes of objects whose name has this prefix.
+  std::string LostReplyPrefix;
+  /// Age of the host list that is returned, in milliseconds.
   std::int64_t HostListLagMs = 0;
   bool HostListIsDown = false;
   bool NoticesAreDown = false;
-  std::int64_t RefuseStarts = 0;
-  std::int64_t LoseCreateReplies = 0;
+  /// Number of the next host creations that fail for lack of capacity.
+  std::int64_t HostStartsToRefuse = 0;
+  /// Number of the next host creations that succeed but lose their replies.
+  std::int64_t CreateRepliesToLose = 0;
 };
 
 class Platform {
@@ -69,31 +72,33 @@
   HttpResponse counters();
 
 private:
-  bool isServing(std::unique_lock<std::mutex> &lock);
+  /// Waits for SlowMs with the lock released; returns whether the object API is
+  /// up.
+  bool isUpAfterDelay(std::unique_lock<std::mutex> &lock);
   static HttpResponse render(const Object &object);
 
   std::mutex Mutex;
   std::condition_variable Changed;
   std::map<std::string, Object> Objects;
   std::map<std::string, Json> Hosts;
-  /// Earlier states of the host list with the time at which each came up, for
-  /// the lag.
+  /// All states of the host list with the time of each, so that a lagging list
+  /// can be returned.
   std::vector<std::pair<Instant, Json>> HostHistory;
   Json Notices = Json::array();
   Json Offers = Json::array();
   std::map<std::string, Json> CloudHostsByToken;
-  Faults Set;
+  Faults ActiveFaults;
   std::map<std::string, std::int64_t> Counts;
 };
 
-bool Platform::isServing(std::unique_lock<std::mutex> &lock) {
-  const std::int64_t slow = Set.SlowMs;
+bool Platform::isUpAfterDelay(std::unique_lock<std::mutex> &lock) {
+  const std::int64_t slow = ActiveFaults.SlowMs;
   if (slow > 0) {
     lock.unlock();
     std::this_thread::sleep_for(milliseconds(slow));
     lock.lock();
   }
-  return !Set.IsDown;
+  return !ActiveFaults.IsDown;
 }
 
 HttpResponse Platform::render(const Object &object) {
@@ -107,8 +112,8 @@
 HttpResponse Platform::readObject(const HttpRequest &request) {
   std::unique_lock<std::mutex> lock(Mutex);
   ++Counts["reads"];
-  if (!isServing(lock))
-    return status(503, "outage");
+  if (!isUpAfterDelay(lock))
+    return detailResponse(503, "the service is unavailable");
   const std::string &name = request.Parts.at(0);
   const std::int64_t known = queryNumber(request, "watch", -1);
   if (known >= 0) {
@@ -117,43 +122,44 @@
         std::min(MaxWatchMs, queryNumber(request, "timeout_ms", 0)));
     const bool hasChanged = Changed.wait_for(lock, waitLimit, [&] {
       const auto it = Objects.find(name);
-      return Set.IsDown ||
+      return ActiveFaults.IsDown ||
              (it != Objects.end() &&
               it->second.Version > static_cast<std::uint64_t>(known));
     });
-    if (Set.IsDown)
-      return status(503, "outage");
+    if (ActiveFaults.IsDown)
+      return detailResponse(503, "the service is unavailable");
     if (!hasChanged)
-      return status(304, "unchanged");
+      return detailResponse(304, "object has not changed");
   }
   const auto it = Objects.find(name);
-  return it == Objects.end() ? status(404, "no such object")
+  return it == Objects.end() ? detailResponse(404, "object not found")
                              : render(it->second);
 }
 
 HttpResponse Platform::writeObject(const HttpRequest &request) {
   std::unique_lock<std::mutex> lock(Mutex);
   ++Counts["writes"];
-  if (!isServing(lock))
-    return status(503, "outage");
+  if (!isUpAfterDelay(lock))
+    return detailResponse(503, "the service is unavailable");
   if (request.Body.size() > MaxBody)
-    return status(413, "over a megabyte");
+    return detailResponse(413, "body is larger than 1 MiB");
   const std::string &name = request.Parts.at(0);
   const std::string match = headerValue(request.Headers, "If-Match");
   const auto it = Objects.find(name);
   const std::uint64_t stored = it == Objects.end() ? 0 : it->second.Version;
-  const std::string wanted = "\"" + std::to_string(stored) + "\"";
+  const std::string storedTag = "\"" + std::to_string(stored) + "\"";
   const bool mustBeAbsent = hasHeader(request.Headers, "If-None-Match");
-  if ((mustBeAbsent && stored != 0) || (!match.empty() && match != wanted)) {
+  if ((mustBeAbsent && stored != 0) || (!match.empty() && match != storedTag)) {
     ++Counts["conflicts"];
-    return status(412, "stored version is " + std::to_string(stored));
+    return detailResponse(412, "stored version is " + std::to_string(stored));
   }
   Object &object = Objects[name];
   object.Body = request.Body;
   object.Version = stored + 1;
   Changed.notify_all();
-  if (Set.LoseReplies > 0 && name.rfind(Set.LosePrefix, 0) == 0) {
-    --Set.LoseReplies;
+  if (ActiveFaults.WriteRepliesToLose > 0 &&
+      name.rfind(ActiveFaults.LostReplyPrefix, 0) == 0) {
+    --ActiveFaults.WriteRepliesToLose;
     ++Counts["lost_replies"];
     return lostReply();
   }
@@ -165,8 +171,8 @@
 HttpResponse Platform::listObjects(const HttpRequest &request) {
   std::unique_lock<std::mutex> lock(Mutex);
   ++Counts["reads"];
-  if (!isServing(lock))
-    return status(503, "outage");
+  if (!isUpAfterDelay(lock))
+    return detailResponse(503, "the service is unavailable");
   const std::string prefix = headerValue(request.Query, "prefix");
   Json names = Json::array();
   for (const auto &it : Objects)
@@ -180,32 +186,32 @@
 HttpResponse Platform::hosts() {
   const std::lock_guard<std::mutex> lock(Mutex);
   ++Counts["host_lists"];
-  if (Set.HostListIsDown)
-    return status(503, "outage");
-  const Instant seen = now() - milliseconds(Set.HostListLagMs);
-  Json shown = Json::array();
+  if (ActiveFaults.HostListIsDown)
+    return detailResponse(503, "the service is unavailable");
+  const Instant listedUpTo = now() - milliseconds(ActiveFaults.HostListLagMs);
+  Json visibleHosts = Json::array();
   for (const auto &it : HostHistory)
-    if (it.first <= seen)
-      shown = it.second;
+    if (it.first <= listedUpTo)
+      visibleHosts = it.second;
   HttpResponse out;
-  out.Body = shown.dump();
+  out.Body = visibleHosts.dump();
   return out;
 }
 
 HttpResponse Platform::notices(const HttpRequest &request) {
   std::unique_lock<std::mutex> lock(Mutex);
   ++Counts["notice_reads"];
-  if (Set.NoticesAreDown)
-    return status(503, "outage");
+  if (ActiveFaults.NoticesAreDown)
+    return detailResponse(503, "the service is unavailable");
   const auto after = static_cast<std::size_t>(queryNumber(request, "after", 0));
   const auto waitLimit =
       milliseconds(std::min(MaxWatchMs, queryNumber(request, "timeout_ms", 0)));
   Changed.wait_for(lock, waitLimit, [&] { return Notices.size() > after; });
-  Json fresh = Json::array();
+  Json newNotices = Json::array();
   for (std::size_t n = after; n < Notices.size(); ++n)
-    fresh.push_back(Notices[n]);
+    newNotices.push_back(Notices[n]);
   HttpResponse out;
-  out.Body = fresh.dump();
+  out.Body = newNotices.dump();
   return out;
 }
 
@@ -226,16 +232,16 @@
     out.Body = known->second.dump();
     return out;
   }
-  if (Set.RefuseStarts > 0) {
-    --Set.RefuseStarts;
-    return status(409, "no capacity");
+  if (ActiveFaults.HostStartsToRefuse > 0) {
+    --ActiveFaults.HostStartsToRefuse;
+    return detailResponse(409, "no capacity for another host");
   }
   Json host = Json::parse(request.Body, nullptr, false);
   host["id"] = "host-" + std::to_string(CloudHostsByToken.size() + 1);
   host["client_token"] = token;
   CloudHostsByToken[token] = host;
-  if (Set.LoseCreateReplies > 0) {
-    --Set.LoseCreateReplies;
+  if (ActiveFaults.CreateRepliesToLose > 0) {
+    --ActiveFaults.CreateRepliesToLose;
     return lostReply();
   }
   out.Body = host.dump();
@@ -258,26 +264,32 @@
   for (auto it = CloudHostsByToken.begin(); it != CloudHostsByToken.end(); ++it)
     if (it->second["id"] == request.Parts.at(0)) {
       CloudHostsByToken.erase(it);
-      return status(200, "deleted");
+      return detailResponse(200, "host deleted");
     }
-  return status(404, "no such host");
+  return detailResponse(404, "host not found");
 }
 
 HttpResponse Platform::setFaults(const HttpRequest &request) {
   const Json json = Json::parse(request.Body);
   const std::lock_guard<std::mutex> lock(Mutex);
-  Set.IsDown = json.value("down", Set.IsDown);
-  Set.SlowMs = json.value("slow_ms", Set.SlowMs);
-  Set.LoseReplies = json.value("lose_replies", Set.LoseReplies);
-  Set.LosePrefix = json.value("lose_prefix", Set.LosePrefix);
-  Set.HostListLagMs = json.value("host_list_lag_ms", Set.HostListLagMs);
-  Set.HostListIsDown = json.value("host_list_down", Set.HostListIsDown);
-  Set.NoticesAreDown = json.value("notices_down", Set.NoticesAreDown);
-  Set.RefuseStarts = json.value("refuse_starts", Set.RefuseStarts);
-  Set.LoseCreateReplies =
-      json.value("lose_create_replies", Set.LoseCreateReplies);
+  ActiveFaults.IsDown = json.value("down", ActiveFaults.IsDown);
+  ActiveFaults.SlowMs = json.value("slow_ms", ActiveFaults.SlowMs);
+  ActiveFaults.WriteRepliesToLose =
+      json.value("lose_replies", ActiveFaults.WriteRepliesToLose);
+  ActiveFaults.LostReplyPrefix =
+      json.value("lose_prefix", ActiveFaults.LostReplyPrefix);
+  ActiveFaults.HostListLagMs =
+      json.value("host_list_lag_ms", ActiveFaults.HostListLagMs);
+  ActiveFaults.HostListIsDown =
+      json.value("host_list_down", ActiveFaults.HostListIsDown);
+  ActiveFaults.NoticesAreDown =
+      json.value("notices_down", ActiveFaults.NoticesAreDown);
+  ActiveFaults.HostStartsToRefuse =
+      json.value("refuse_starts", ActiveFaults.HostStartsToRefuse);
+  ActiveFaults.CreateRepliesToLose =
+      json.value("lose_create_replies", ActiveFaults.CreateRepliesToLose);
   Changed.notify_all();
-  return status(200, "set");
+  return detailResponse(200, "settings updated");
 }
 
 HttpResponse Platform::putHost(const HttpRequest &request) {
@@ -292,7 +304,7 @@
   for (const auto &it : Hosts)
     all.push_back(it.second);
   HostHistory.emplace_back(now(), all);
-  return status(200, "listed");
+  return detailResponse(200, "host list updated");
 }
 
 HttpResponse Platform::addNotice(const HttpRequest &request) {
@@ -305,13 +317,13 @@
         static_cast<std::int64_t>(notice["seconds"].get<double>() * 1000);
   Notices.push_back(notice);
   Changed.notify_all();
-  return status(200, "given");
+  return detailResponse(200, "notice added");
 }
 
 HttpResponse Platform::setOffers(const HttpRequest &request) {
   const std::lock_guard<std::mutex> lock(Mutex);
   Offers = Json::parse(request.Body);
-  return status(200, "set");
+  return detailResponse(200, "settings updated");
 }
 
 HttpResponse Platform::counters() {
@@ -331,14 +343,15 @@
 } // namespace
 
 int main(int argc, char **argv) {
-  CLI::App app("Stand-in for the platform.");
+  CLI::App app("Fake platform for tests.");
   std::string listen = "127.0.0.1:0";
-  app.add_option("--listen", listen, "ip:port; port 0 is chosen");
+  app.add_option("--listen", listen, "ip:port; 0 selects a free port");
   CLI11_PARSE(app, argc, argv);
   blockStopSignals();
   Platform platform;
   HttpServer server;
-  const auto on = [&](const char *method, const char *pattern, auto member) {
+  const auto addMemberRoute = [&](const char *method, const char *pattern,
+                                  auto member) {
     server.route(method, pattern, [&platform, member](const HttpRequest &r) {
       if constexpr (std::is_invocable_v<decltype(member), Platform &,
                                         const HttpRequest &>)
@@ -347,20 +360,20 @@
         return (platform.*member)();
     });
   };
-  on("GET", "/v1/objects", &Platform::listObjects);
-  on("GET", "/v1/objects/(.+)", &Platform::readObject);
-  on("PUT", "/v1/objects/(.+)", &Platform::writeObject);
-  on("GET", "/v1/hosts", &Platform::hosts);
-  on("GET", "/v1/cloud/notices", &Platform::notices);
-  on("GET", "/v1/cloud/offers", &Platform::offers);
-  on("GET", "/v1/cloud/hosts", &Platform::cloudHosts);
-  on("POST", "/v1/cloud/hosts", &Platform::createHost);
-  on("DELETE", "/v1/cloud/hosts/([^/]+)", &Platform::deleteHost);
-  on("POST", "/admin/faults", &Platform::setFaults);
-  on("POST", "/admin/hosts", &Platform::putHost);
-  on("POST", "/admin/notices", &Platform::addNotice);
-  on("POST", "/admin/offers", &Platform::setOffers);
-  on("GET", "/admin/counters", &Platform::counters);
+  addMemberRoute("GET", "/v1/objects", &Platform::listObjects);
+  addMemberRoute("GET", "/v1/objects/(.+)", &Platform::readObject);
+  addMemberRoute("PUT", "/v1/objects/(.+)", &Platform::writeObject);
+  addMemberRoute("GET", "/v1/hosts", &Platform::hosts);
+  addMemberRoute("GET", "/v1/cloud/notices", &Platform::notices);
+  addMemberRoute("GET", "/v1/cloud/offers", &Platform::offers);
+  addMemberRoute("GET", "/v1/cloud/hosts", &Platform::cloudHosts);
+  addMemberRoute("POST", "/v1/cloud/hosts", &Platform::createHost);
+  addMemberRoute("DELETE", "/v1/cloud/hosts/([^/]+)", &Platform::deleteHost);
+  addMemberRoute("POST", "/admin/faults", &Platform::setFaults);
+  addMemberRoute("POST", "/admin/hosts", &Platform::putHost);
+  addMemberRoute("POST", "/admin/notices", &Platform::addNotice);
+  addMemberRoute("POST", "/admin/offers", &Platform::setOffers);
+  addMemberRoute("GET", "/admin/counters", &Platform::counters);
   server.route("GET", "/v1/weights/([^/]+)", weights);
   return serveFake(server, listen);
 }
--- a/Tests/Fakes/fault-proxy-main.cpp
+++ b/Tests/Fakes/fault-proxy-main.cpp
@@ -1,10 +1,14 @@
-// A TCP proxy that does to connections what networks do: cut, freeze, silence,
-// delay, and lose replies. Its mode is set over HTTP:
+// A TCP proxy that injects network faults. Its mode is set over HTTP:
 //   POST /mode {"mode": "pass|refuse|cut|freeze|silence|drop_reply",
 //   "delay_ms": N}
-// freeze: bytes stop in both directions on open connections, new ones work;
-// silence: bytes from the target are swallowed, also on new connections;
-// drop_reply: the request goes through, the connection is cut on the answer.
+// pass: bytes are forwarded in both directions;
+// refuse: new connections are closed at once;
+// cut: open and new connections are closed;
+// freeze: open connections stop forwarding in both directions, new ones work;
+// silence: bytes from the target are discarded, also on new connections;
+// drop_reply: the request is forwarded, and the connection is closed when the
+// first bytes of the reply arrive.
+// delay_ms delays each read of up to 16 KiB in every mode.
 #include "FakeMain.h"
 #include <CLI/CLI.hpp>
 #include <arpa/inet.h>
@@ -29,8 +33,8 @@
 struct State {
   std::atomic<Mode> Current{Mode::Pass};
   std::atomic<int> DelayMs{0};
-  /// Grows with each freeze; a connection made before it stays frozen for
-  /// good, as one that a middlebox has forgotten.
+  /// Incremented by each freeze. A connection opened before a freeze stays
+  /// frozen for good, like one whose state a middlebox has dropped.
   std::atomic<int> FreezeCount{0};
 };
 
@@ -70,16 +74,17 @@
   return true;
 }
 
-/// Carries bytes between the two ends until one closes or the mode says so.
-void carry(State &state, int client, int target) {
-  const int processStartedAt = state.FreezeCount;
+/// Forwards bytes between the two ends until one closes or the mode requires
+/// the connection to be closed.
+void forwardBytes(State &state, int client, int target) {
+  const int freezeCountAtStart = state.FreezeCount;
   pollfd ends[2] = {{client, POLLIN, 0}, {target, POLLIN, 0}};
   char buf[BufferBytes];
   while (true) {
     const Mode mode = state.Current;
     if (mode == Mode::Cut)
       return;
-    if (state.FreezeCount != processStartedAt) {
+    if (state.FreezeCount != freezeCountAtStart) {
       std::this_thread::sleep_for(milliseconds(PollMs));
       continue;
     }
@@ -88,8 +93,8 @@
     for (int n = 0; n < 2; ++n) {
       if ((ends[n].revents & (POLLIN | POLLHUP | POLLERR)) == 0)
         continue;
-      const ssize_t got = recv(ends[n].fd, buf, sizeof(buf), 0);
-      if (got <= 0)
+      const ssize_t receivedBytes = recv(ends[n].fd, buf, sizeof(buf), 0);
+      if (receivedBytes <= 0)
         return;
       const bool isReply = n == 1;
       if (isReply && mode == Mode::Silence)
@@ -98,7 +103,7 @@
         return;
       if (state.DelayMs > 0)
         std::this_thread::sleep_for(milliseconds(state.DelayMs.load()));
-      if (!sendAll(ends[1 - n].fd, buf, got))
+      if (!sendAll(ends[1 - n].fd, buf, receivedBytes))
         return;
     }
   }
@@ -107,18 +112,18 @@
 void serveConnection(State &state, int client, const sockaddr_in &to) {
   const int target = socket(AF_INET, SOCK_STREAM, 0);
   if (connect(target, reinterpret_cast<const sockaddr *>(&to), sizeof(to)) == 0)
-    carry(state, client, target);
+    forwardBytes(state, client, target);
   close(target);
   close(client);
 }
 
 std::string listenOn(int fd, const std::string &address) {
   sockaddr_in at = toSocketAddress(address);
-  const int yes = 1;
-  setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof(yes));
+  const int enable = 1;
+  setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &enable, sizeof(enable));
   if (bind(fd, reinterpret_cast<const sockaddr *>(&at), sizeof(at)) != 0 ||
       listen(fd, SOMAXCONN) != 0)
-    throw HttpListenFailed("can't listen on " + address);
+    throw HttpListenFailed("cannot listen on " + address);
   socklen_t length = sizeof(at);
   getsockname(fd, reinterpret_cast<sockaddr *>(&at), &length);
   const std::size_t colon = address.rfind(':');
@@ -128,13 +133,14 @@
 } // namespace
 
 int main(int argc, char **argv) {
-  CLI::App app("TCP proxy with faults.");
+  CLI::App app("TCP proxy that injects network faults.");
   std::string listenAddress = "127.0.0.1:0";
   std::string control = "127.0.0.1:0";
   std::string target;
-  app.add_option("--listen", listenAddress, "ip:port; port 0 is chosen");
+  app.add_option("--listen", listenAddress, "ip:port; 0 selects a free port");
   app.add_option("--control", control, "ip:port of the control server");
-  app.add_option("--target", target, "ip:port")->required();
+  app.add_option("--target", target, "ip:port that connections go to")
+      ->required();
   CLI11_PARSE(app, argc, argv);
   blockStopSignals();
   State state;
--- a/Tests/Fakes/free-port-main.cpp
+++ b/Tests/Fakes/free-port-main.cpp
@@ -1,12 +1,13 @@
-// Prints, for each address given, "ip:port" with a port that is free now. Used
-// where a process must know another's port before that one starts.
+// Prints "ip:port" with a currently free port for each address given. For tests
+// in which a process needs the port of another one that starts later.
 #include <arpa/inet.h>
 #include <iostream>
 #include <netinet/in.h>
 #include <sys/socket.h>
 
 int main(int argc, char **argv) {
-  // All sockets stay open until the end, so that no port is given twice.
+  // All sockets stay open until the process exits, so that no port is returned
+  // twice.
   for (int n = 1; n < argc; ++n) {
     sockaddr_in at{};
     at.sin_family = AF_INET;
