--- a/Tests/Integration/ChildProcess.cpp
+++ b/Tests/Integration/ChildProcess.cpp
@@ -9,18 +9,18 @@
 
 namespace sorrelbay {
 
-// Far above what any step takes, so that only a hang reaches it.
+// Far above the duration of any step, so that only a hang reaches the limit.
 static constexpr int MaxPolls = 6000;
-static constexpr Duration PollPause = milliseconds(10);
+static constexpr Duration ConditionPollInterval = milliseconds(10);
 
 void waitUntil(const std::string &what,
                const std::function<bool()> &condition) {
   for (int n = 0; n < MaxPolls; ++n) {
     if (condition())
       return;
-    std::this_thread::sleep_for(PollPause);
+    std::this_thread::sleep_for(ConditionPollInterval);
   }
-  throw NeverCameTrue("never came true: " + what);
+  throw TestStepFailed("timed out waiting for: " + what);
 }
 
 static std::string readAll(const std::string &path) {
@@ -35,9 +35,9 @@
                            std::string logPath)
     : LogPath(std::move(logPath)) {
   std::string path = std::string(SORRELBAY_BINARY_DIR) + "/" + program;
-  std::vector<std::string> copies = arguments;
+  std::vector<std::string> argumentCopies = arguments;
   std::vector<char *> argv{path.data()};
-  for (std::string &it : copies)
+  for (std::string &it : argumentCopies)
     argv.push_back(it.data());
   argv.push_back(nullptr);
   posix_spawn_file_actions_t actions;
@@ -49,14 +49,14 @@
       posix_spawn(&Id, path.c_str(), &actions, nullptr, argv.data(), environ);
   posix_spawn_file_actions_destroy(&actions);
   if (ec != 0)
-    throw NeverCameTrue("can't start " + path);
+    throw TestStepFailed("cannot start " + path);
 }
 
 ChildProcess::~ChildProcess() { kill(); }
 
 std::string ChildProcess::waitForLine(const std::string &start) const {
   std::string rest;
-  waitUntil("a line '" + start + "' in " + LogPath, [&] {
+  waitUntil("a line that starts with '" + start + "' in " + LogPath, [&] {
     std::istringstream lines(readAll(LogPath));
     for (std::string line; std::getline(lines, line);)
       if (line.rfind(start, 0) == 0 && !lines.eof()) {
@@ -74,7 +74,7 @@
 
 void ChildProcess::pause() const {
   ::kill(Id, SIGSTOP);
-  // The signal is only sent; the process is stopped when the kernel says so.
+  // kill() returns before the process is stopped; waitpid() reports the stop.
   int status = 0;
   waitpid(Id, &status, WUNTRACED);
 }
@@ -99,7 +99,7 @@
 }
 
 int ChildProcess::wait() {
-  waitUntil("the end of process " + std::to_string(Id),
+  waitUntil("the exit of process " + std::to_string(Id),
             [this] { return !isRunning(); });
   return ExitCode;
 }
--- a/Tests/Integration/ChildProcess.h
+++ b/Tests/Integration/ChildProcess.h
@@ -9,39 +9,44 @@
 
 namespace sorrelbay {
 
-/// What a test waited for did not come true within a bound that only a hang
-/// reaches.
-class NeverCameTrue : public Error {
+/// A step of a test failed: a program did not start, or a condition did not
+/// hold within the wait limit of about a minute, which only a hang reaches.
+class TestStepFailed : public Error {
 public:
   using Error::Error;
 };
 
-/// Waits until the condition holds, by asking again and again. Throws
-/// NeverCameTrue with the text.
+/// Polls the condition until it holds. Throws TestStepFailed with the
+/// description after the wait limit.
 void waitUntil(const std::string &what, const std::function<bool()> &condition);
 
-/// A process of the product or a stand-in, started by a test. Only tests start
-/// processes; the product's never do. Ended, by its id, when destroyed.
+/// A daemon, tool or fake that a test starts as a process. Only tests start
+/// processes; the product never does. The destructor kills the process by its
+/// id.
 class ChildProcess {
 public:
-  /// Starts the program of the build folder with its output in the log file.
+  /// Starts a program from the build folder and appends its output to the log
+  /// file. Throws TestStepFailed if it cannot be started.
   ChildProcess(const std::string &program,
                const std::vector<std::string> &arguments, std::string logPath);
   ~ChildProcess();
   ChildProcess(const ChildProcess &) = delete;
   ChildProcess &operator=(const ChildProcess &) = delete;
 
-  /// Waits for a line of the log that starts with the text; returns the rest.
+  /// Waits for a complete line of the log that starts with the text; returns
+  /// the rest of the line.
   std::string waitForLine(const std::string &start) const;
-  /// Whether the log holds the text anywhere.
+  /// Whether the log contains the text.
   bool hasLogged(const std::string &text) const;
+  /// Sends SIGSTOP and waits until the process is stopped.
   void pause() const;
   void resume() const;
-  /// SIGKILL, and waits for the end.
+  /// Sends SIGKILL and waits for the process to exit.
   void kill();
-  /// SIGTERM, without waiting.
+  /// Sends SIGTERM without waiting for the process to exit.
   void terminate() const;
-  /// Waits for the end by itself; the exit code, or minus the signal.
+  /// Waits for the process to exit. Returns its exit code, or the negated
+  /// number of the signal that ended it.
   int wait();
   bool isRunning();
 
--- a/Tests/Integration/Deployment.cpp
+++ b/Tests/Integration/Deployment.cpp
@@ -13,25 +13,31 @@
 
 using Json = nlohmann::json;
 
-const char *const OnlyVersionOne = R"(
+const char *const SingleVersionToml = R"(
 [[version]]
 id = "v1"
 service = "model"
 share = 1.0
 )";
 
-/// A loopback address of this test process alone. Two runs at the same time
-/// would otherwise meet at an address that one of them has just given up.
-static std::string ownHost(int last) {
+/// A loopback address that is derived from the process id, so that concurrent
+/// test runs do not reuse an address that another run has just released.
+static std::string processLoopbackHost(int last) {
   const int id = getpid();
   return "127." + std::to_string(64 + id / 256 % 128) + "." +
          std::to_string(id % 256) + "." + std::to_string(last);
 }
 
-static std::string engineHost() { return ownHost(21) + ":0"; }
-static std::string deskHost() { return ownHost(31) + ":0"; }
-static std::string proxyHost() { return ownHost(41) + ":0"; }
-static constexpr Duration CallerPatience = seconds(60);
+static std::string engineListenAddress() {
+  return processLoopbackHost(21) + ":0";
+}
+static std::string deskListenAddress() {
+  return processLoopbackHost(31) + ":0";
+}
+static std::string proxyListenAddress() {
+  return processLoopbackHost(41) + ":0";
+}
+static constexpr Duration CallerReadTimeout = seconds(60);
 
 std::string standardBundle(int generation, const std::string &modelVersions) {
   return "generation = " + std::to_string(generation) + R"(
@@ -85,27 +91,27 @@
   out.Method = method;
   out.Path = path;
   out.Body = body;
-  out.ReadTimeout = CallerPatience;
+  out.ReadTimeout = CallerReadTimeout;
   return sendOnce(address, out);
 }
 
-/// A port of this test process that no daemon was given before. A free port
-/// is only free until somebody takes it: two daemons that are started one
-/// after the other, or the two ports of one, were now and then given the same
-/// one, and the daemon that came second died.
+/// Returns a free port that no daemon of this test process has been assigned
+/// before. The system may return the same port twice until it is bound: two
+/// daemons started in sequence, or the two listeners of one, then received the
+/// same port, and the second daemon failed to start.
 static std::string freePort() {
-  static std::set<std::string> given;
-  const std::string command =
-      std::string(SORRELBAY_BINARY_DIR) + "/free-port " + ownHost(11);
+  static std::set<std::string> usedPorts;
+  const std::string command = std::string(SORRELBAY_BINARY_DIR) +
+                              "/free-port " + processLoopbackHost(11);
   for (;;) {
     FILE *pipe = popen(command.c_str(), "r");
     char buf[64] = {};
     if (pipe == nullptr || fgets(buf, sizeof(buf), pipe) == nullptr)
-      throw NeverCameTrue("no free port");
+      throw TestStepFailed("cannot find a free port");
     pclose(pipe);
     std::string out(buf);
     out.erase(out.find_last_not_of('\n') + 1);
-    if (given.insert(out).second)
+    if (usedPorts.insert(out).second)
       return out;
   }
 }
@@ -119,18 +125,19 @@
   char pattern[] = "/tmp/sorrelbay-test-XXXXXX";
   Folder = mkdtemp(pattern);
   PlatformProcess = std::make_unique<ChildProcess>(
-      "fake-platform", std::vector<std::string>{"--listen", ownHost(1) + ":0"},
+      "fake-platform",
+      std::vector<std::string>{"--listen", processLoopbackHost(1) + ":0"},
       logPath("platform"));
   PlatformAddress = PlatformProcess->waitForLine("listening ");
   const std::string keyPath = Folder + "/operator.pem";
   ChildProcess generate("sorrelbay", {"keys", "generate", "--out", keyPath},
                         logPath("keys"));
   if (generate.wait() != 0)
-    throw NeverCameTrue("the operator's key could not be made");
+    throw TestStepFailed("cannot generate the operator's key");
   std::ifstream log(Folder + "/keys.log");
   std::ostringstream text;
   text << log.rdbuf();
-  // The public key is the only run of 64 hexadecimal digits.
+  // The public key is the only run of 64 hexadecimal digits in the output.
   const std::string out = text.str();
   constexpr std::size_t KeyDigits = 64;
   for (std::size_t n = 0; n + KeyDigits <= out.size(); ++n) {
@@ -174,8 +181,8 @@
                                     const std::vector<std::string> &arguments) {
   auto out = std::make_unique<TestUpstream>();
   std::vector<std::string> all{
-      "--listen",       engineHost(), "--service",  "model",
-      "--version-name", version,      "--token-us", "2000"};
+      "--listen", engineListenAddress(), "--service", "model", "--version-name",
+      version,    "--token-us",          "2000"};
   all.insert(all.end(), arguments.begin(), arguments.end());
   out->Process = std::make_unique<ChildProcess>(
       "fake-engine", all, logPath("engine" + std::to_string(NextNumber++)));
@@ -191,7 +198,7 @@
 TestUpstream &Deployment::addDesk(const std::string &zone) {
   auto out = std::make_unique<TestUpstream>();
   out->Process = std::make_unique<ChildProcess>(
-      "fake-desk", std::vector<std::string>{"--listen", deskHost()},
+      "fake-desk", std::vector<std::string>{"--listen", deskListenAddress()},
       logPath("desk" + std::to_string(NextNumber++)));
   out->Address = out->Process->waitForLine("listening ");
   out->Zone = zone;
@@ -266,8 +273,8 @@
   auto out = std::make_unique<TestProxy>();
   out->Process = std::make_unique<ChildProcess>(
       "fault-proxy",
-      std::vector<std::string>{"--listen", proxyHost(), "--control",
-                               proxyHost(), "--target", target},
+      std::vector<std::string>{"--listen", proxyListenAddress(), "--control",
+                               proxyListenAddress(), "--target", target},
       logPath("proxy" + std::to_string(NextNumber++)));
   out->Address = out->Process->waitForLine("proxying ");
   out->Control = out->Process->waitForLine("listening ");
@@ -282,8 +289,8 @@
   const auto run = [&](const std::vector<std::string> &arguments) {
     ChildProcess tool("sorrelbay", arguments, logPath("roll" + number));
     if (tool.wait() != 0)
-      throw NeverCameTrue("sorrelbay " + arguments[1] + " failed; see " +
-                          logPath("roll" + number));
+      throw TestStepFailed("sorrelbay " + arguments[1] + " failed; see " +
+                           logPath("roll" + number));
   };
   run({"bundle", "sign", path + ".toml", "--key", Folder + "/operator.pem",
        "--out", path + ".signed"});
@@ -292,7 +299,7 @@
 
 void Deployment::waitReady(std::uint64_t generation) {
   for (const auto &it : Daemons)
-    waitUntil("readiness of " + it->Address, [&] {
+    waitUntil("readiness of daemon " + it->Address, [&] {
       try {
         const HttpReply reply = call(it->Address, "GET", "/readyz", "");
         return reply.Status == 200 &&
@@ -304,7 +311,8 @@
     });
 }
 
-void Deployment::giveNotice(const std::string &address, double seconds) const {
+void Deployment::addReclaimNotice(const std::string &address,
+                                  double seconds) const {
   post(PlatformAddress, "/admin/notices",
        Json{{"address", address}, {"seconds", seconds}}.dump());
 }
@@ -324,7 +332,7 @@
   return out;
 }
 
-/// Reads the events of a stream as a caller would.
+/// Parses the events of a stream as a caller does.
 static void readEvents(ChatAnswer &answer) {
   std::istringstream lines(answer.Raw);
   for (std::string line; std::getline(lines, line);) {
@@ -364,7 +372,7 @@
                   {"max_tokens", tokens},
                   {"messages", messagesFor(question)}}
                  .dump();
-  out.ReadTimeout = CallerPatience;
+  out.ReadTimeout = CallerReadTimeout;
   ChatAnswer answer;
   HttpStream stream(address, out);
   try {
@@ -378,7 +386,7 @@
           return true;
         });
   } catch (const Error &) {
-    // What came before the break is what the caller has.
+    // The caller keeps the part that was received before the connection broke.
   }
   readEvents(answer);
   return answer;
@@ -395,7 +403,7 @@
   out.Headers.push_back({"X-Attempt", std::to_string(attempt)});
   if (!key.empty())
     out.Headers.push_back({"Idempotency-Key", key});
-  out.ReadTimeout = CallerPatience;
+  out.ReadTimeout = CallerReadTimeout;
   return sendOnce(address, out);
 }
 
--- a/Tests/Integration/Deployment.h
+++ b/Tests/Integration/Deployment.h
@@ -8,7 +8,7 @@
 
 namespace sorrelbay {
 
-/// One upstream stand-in of a deployment.
+/// A fake upstream of a deployment.
 struct TestUpstream {
   std::string Address;
   std::string Zone;
@@ -23,12 +23,13 @@
   std::string PeerAddress;
   std::string Zone;
   std::string SettingsPath;
-  /// Where it reaches the platform: the platform itself or a proxy's address.
+  /// The address at which the daemon reaches the platform: its own or that of a
+  /// proxy.
   std::string Platform;
   std::unique_ptr<ChildProcess> Process;
 };
 
-/// A fault proxy in front of something.
+/// A fault proxy in front of another process.
 struct TestProxy {
   std::string Address;
   std::string Control;
@@ -38,8 +39,8 @@
   void setMode(const std::string &mode, int delayMs = 0) const;
 };
 
-/// Real processes on loopback addresses: one platform, engines and desks in
-/// zones, daemons, proxies. Everything ends with it.
+/// Processes on loopback addresses: one fake platform, fake engines and desks
+/// in zones, daemons, and fault proxies. The destructor ends all of them.
 class Deployment {
 public:
   Deployment();
@@ -49,37 +50,43 @@
 
   const std::string &platform() const { return PlatformAddress; }
 
-  /// Starts an engine of the service "model" and lists it.
+  /// Starts an engine of the service "model" and adds it to the host list.
   TestUpstream &addEngine(const std::string &zone, const std::string &version,
                           const std::vector<std::string> &arguments = {});
-  /// Starts a desk of the service "desk", version "desk-1", and lists it.
+  /// Starts a desk of the service "desk", version "desk-1", and adds it to the
+  /// host list.
   TestUpstream &addDesk(const std::string &zone);
-  /// Writes a daemon's settings, starts it, and lists it as an entry host. The
-  /// platform's address may be a proxy's.
+  /// Writes a daemon's settings, starts it, and adds it to the host list as an
+  /// entry host. The platform's address may be that of a proxy; empty for the
+  /// platform itself.
   TestDaemon &addDaemon(const std::string &zone,
                         const std::string &platform = "");
-  /// Writes settings for a daemon that listens at the addresses given and
-  /// reaches the platform where it says; returns the file's path.
+  /// Writes a settings file with the addresses, zone and platform of the
+  /// daemon; returns its path.
   std::string writeSettings(const std::string &name,
                             const TestDaemon &daemon) const;
-  /// Where a process of that name writes what it prints.
+  /// The path of the log file of a process of that name.
   std::string logPath(const std::string &name) const;
-  /// Starts the daemon again with the same settings.
+  /// Kills the daemon if it is running and starts it again with the same
+  /// settings.
   void restart(TestDaemon &daemon);
+  /// Starts a fault proxy that forwards to the target.
   TestProxy &addProxy(const std::string &target);
 
-  /// Signs and rolls the bundle; see standardBundle.
+  /// Signs and rolls the bundle; see standardBundle. Throws TestStepFailed if
+  /// the tool reports an error.
   void roll(const std::string &bundleToml);
-  /// Waits until each running daemon says that it is ready with at least that
-  /// generation.
+  /// Waits until each daemon is ready with at least that bundle generation.
   void waitReady(std::uint64_t generation = 1);
 
-  /// Lists an upstream with a state: live, leaving or gone.
+  /// Sets the state of an upstream in the host list: live, leaving or gone;
+  /// gone removes it.
   void list(const TestUpstream &upstream, const std::string &state) const;
-  /// A reclaim notice for the address.
-  void giveNotice(const std::string &address, double seconds) const;
+  /// Adds a reclaim notice for the address that takes effect after this many
+  /// seconds.
+  void addReclaimNotice(const std::string &address, double seconds) const;
   void setPlatformFaults(const std::string &json) const;
-  /// The number below a key of a JSON document, 0 if there is none.
+  /// The integer at a key of a JSON object; 0 if the key is missing.
   static std::int64_t number(const std::string &json, const std::string &key);
   static std::string get(const std::string &address, const std::string &path);
   static std::string post(const std::string &address, const std::string &path,
@@ -99,31 +106,33 @@
   int NextNumber = 1;
 };
 
-/// A bundle of generation n with the engine service "model" (routes chat,
-/// quote), the desk service "desk" (booking, not repeatable; lookup), team
-/// "crew", and the versions' lines given, in TOML.
+/// A bundle in TOML with this generation: the engine service "model" (routes
+/// chat and quote), the desk service "desk" (routes booking, which is not
+/// repeatable, and lookup), the team "crew", and the given versions of the
+/// model.
 std::string standardBundle(int generation, const std::string &modelVersions);
 
-/// The usual single version v1 with all calls.
-extern const char *const OnlyVersionOne;
+/// The [[version]] section of a version v1 that receives all calls.
+extern const char *const SingleVersionToml;
 
-/// A streamed chat as a caller sees it.
+/// A streamed chat response as a caller receives it.
 struct ChatAnswer {
   int Status = 0;
-  /// The contents of all token events, put together.
+  /// The concatenated contents of all token events.
   std::string Text;
   std::uint64_t Tokens = 0;
-  /// Whether the end with a stated length equal to the tokens came.
+  /// Whether the final event was received and states a length equal to Tokens.
   bool IsWhole = false;
   std::string Raw;
 };
 
-/// Streams a chat through the daemon; the question makes the text.
+/// Streams a chat through the daemon. The text of the response depends on the
+/// question; see expectedText.
 ChatAnswer streamChat(const std::string &address, const std::string &question,
                       std::uint64_t tokens, const HttpHeaders &headers = {});
-/// The contents of all token events of a stream, put together.
+/// The concatenated contents of all token events of a stream.
 std::string textOfEvents(const std::string &raw);
-/// The text of an undisturbed answer.
+/// The text of an uninterrupted response.
 std::string expectedText(const std::string &question, std::uint64_t tokens);
 
 /// Calls a desk operation through the daemon.
--- a/Tests/Integration/TestAtMostOnce.cpp
+++ b/Tests/Integration/TestAtMostOnce.cpp
@@ -19,71 +19,71 @@
   return out << names[static_cast<int>(outcome)];
 }
 
-/// Two desks and three daemons, each daemon behind a proxy of its own on its
-/// way to the platform.
+/// Two desks, and three daemons that each reach the platform through their own
+/// proxy.
 struct BookingSite {
   explicit BookingSite(int daemons = 3) {
-    Whole.addDesk("zone-a");
-    Whole.addDesk("zone-b");
+    Cluster.addDesk("zone-a");
+    Cluster.addDesk("zone-b");
     for (int n = 0; n < daemons; ++n) {
-      TestProxy &proxy = Whole.addProxy(Whole.platform());
-      Whole.addDaemon(n % 2 == 0 ? "zone-a" : "zone-b", proxy.Address);
+      TestProxy &proxy = Cluster.addProxy(Cluster.platform());
+      Cluster.addDaemon(n % 2 == 0 ? "zone-a" : "zone-b", proxy.Address);
     }
-    Whole.roll(standardBundle(1, OnlyVersionOne));
-    Whole.waitReady();
+    Cluster.roll(standardBundle(1, SingleVersionToml));
+    Cluster.waitReady();
   }
 
   const std::string &entry(std::size_t n) const {
-    return Whole.Daemons.at(n)->Address;
+    return Cluster.Daemons.at(n)->Address;
   }
   DeskCallAnswer book(std::size_t n, const std::string &key,
                       std::uint64_t attempt) const {
     const HttpReply reply = callDeskAt(entry(n), "booking", key, attempt);
     DeskCallAnswer answer = parseDeskCall(reply);
-    // Which of the ways to this answer was taken, for a test that fails.
+    // Shows in the log of a failed test why the call was not done.
     if (answer.Outcome != CallOutcome::Done)
       BOOST_TEST_MESSAGE(key << " at daemon " << n << ": " << reply.Status
                              << " " << reply.Body);
     return answer;
   }
-  DeskCallAnswer ask(std::size_t n, const std::string &key,
-                     std::uint64_t attempt) const {
+  DeskCallAnswer queryOutcome(std::size_t n, const std::string &key,
+                              std::uint64_t attempt) const {
     HttpCall call;
     call.Path = "/v1/calls/" + key;
     call.Headers = {{"X-Team", "crew"}, {"X-Attempt", std::to_string(attempt)}};
     return parseCallQuery(sendOnce(entry(n), call));
   }
-  /// Each daemon has a link to each other one, so that it reaches the owners of
-  /// tickets.
-  void waitForLinks() const {
+  /// Waits until each daemon has a peer link to every other one, so that it
+  /// reaches the owners of tickets.
+  void waitForPeerLinks() const {
     const std::string wanted =
-        "sorrelbay_peer_links " + std::to_string(Whole.Daemons.size() - 1);
-    for (std::size_t n = 0; n < Whole.Daemons.size(); ++n)
-      waitUntil("daemon " + std::to_string(n) + " has its links", [&] {
+        "sorrelbay_peer_links " + std::to_string(Cluster.Daemons.size() - 1);
+    for (std::size_t n = 0; n < Cluster.Daemons.size(); ++n)
+      waitUntil("daemon " + std::to_string(n) + " has all its peer links", [&] {
         return Deployment::get(entry(n), "/metrics").find(wanted) !=
                std::string::npos;
       });
   }
-  /// The result is recorded after its answer; until then a repeat hears
-  /// "unknown", but never "not run".
-  void waitForDone(std::size_t n, const std::string &key,
-                   std::uint64_t attempt) const {
-    waitUntil(key + " is done for all", [&] {
+  /// The result is recorded after the response is sent; until then a retry
+  /// receives "unknown", but never "not run".
+  void waitUntilDone(std::size_t n, const std::string &key,
+                     std::uint64_t attempt) const {
+    waitUntil(key + " is done at every daemon", [&] {
       const CallOutcome outcome = book(n, key, attempt).Outcome;
       BOOST_REQUIRE(outcome != CallOutcome::NotRun);
       return outcome == CallOutcome::Done;
     });
-    BOOST_TEST(ask(n, key, attempt).Outcome == CallOutcome::Done);
+    BOOST_TEST(queryOutcome(n, key, attempt).Outcome == CallOutcome::Done);
   }
-  std::string takeTicket(std::size_t n) const {
+  std::string requestTicket(std::size_t n) const {
     const auto lookup = nlohmann::json::parse(
         Deployment::get(entry(n), "/v1/addresses?tickets=1"));
     return lookup["tickets"][0]["idempotency_key"];
   }
-  /// How often the desks have run the key.
+  /// The number of times that the desks have run the key.
   int runs(const std::string &key) const {
     int out = 0;
-    for (const auto &desk : Whole.Upstreams)
+    for (const auto &desk : Cluster.Upstreams)
       for (const auto &run :
            nlohmann::json::parse(Deployment::get(desk->Address, "/admin/runs")))
         out += run["key"] == key ? 1 : 0;
@@ -91,39 +91,40 @@
   }
   void setDeskFaults(const std::string &json, std::size_t desks = 2) const {
     for (std::size_t n = 0; n < desks; ++n)
-      Deployment::post(Whole.Upstreams[n]->Address, "/admin/faults", json);
+      Deployment::post(Cluster.Upstreams[n]->Address, "/admin/faults", json);
   }
-  /// Has the daemon run a call of the same bucket, so that it knows the bucket
-  /// and begins the next call with the write of the intent.
-  void showBucketTo(std::size_t n, const std::string &key) const {
+  /// Makes the daemon run a call of the same ledger bucket, so that it has the
+  /// bucket loaded and starts the next call by writing the intent.
+  void loadBucketAt(std::size_t n, const std::string &key) const {
     const CallId wanted{TeamId("crew"), IdempotencyKey(key)};
     CallId other = wanted;
     for (int it = 0; other == wanted || bucketOf(other) != bucketOf(wanted);)
       other.Key = IdempotencyKey("other-" + std::to_string(it++));
     book(n, other.Key.text(), 1);
-    waitUntil("the other call's result is recorded", [&] {
-      return ask(n, other.Key.text(), 1).Outcome == CallOutcome::Done;
+    waitUntil("the result of the call in the same bucket", [&] {
+      return queryOutcome(n, other.Key.text(), 1).Outcome == CallOutcome::Done;
     });
   }
-  /// Waits until the ledger holds the key, whoever has been told of it.
-  void waitForEntry(const std::string &key) const {
-    const ObjectApi objects = connectObjectApi(Whole.platform(), seconds(5));
+  /// Waits until the ledger contains the key, even if no daemon has received
+  /// the reply to its write.
+  void waitForLedgerEntry(const std::string &key) const {
+    const ObjectApi objects = connectObjectApi(Cluster.platform(), seconds(5));
     const CallId call{TeamId("crew"), IdempotencyKey(key)};
-    waitUntil("an entry of " + key, [&] {
+    waitUntil("a ledger entry of " + key, [&] {
       const auto object = objects.Read(bucketObjectName(bucketOf(call)));
       return object && decodeBucket(object->Body).entries().count(call) != 0;
     });
   }
 
-  Deployment Whole;
+  Deployment Cluster;
 };
 
 } // namespace sorrelbay
 
 BOOST_AUTO_TEST_SUITE(AtMostOnce)
 
-// An impatient caller's library sends a booking to every address that it was
-// given. Without one order for all hosts, several crews come to the same door.
+// A caller sends the same booking to every address at once. Without one order
+// of attempts across all hosts, several desks would run it.
 BOOST_AUTO_TEST_CASE(same_key_at_all_entry_hosts_at_once_runs_once) {
   const BookingSite site;
   for (int round = 0; round < 10; ++round) {
@@ -141,18 +142,18 @@
     }
     BOOST_TEST(done >= 1);
     BOOST_TEST(site.runs(key) == 1);
-    site.waitForDone(2, key, 10);
+    site.waitUntilDone(2, key, 10);
   }
 }
 
-// The platform's reply to the intent gets lost between the two ends, and the
-// daemon dies while it waits for it. Nobody can say whether it had sent the
-// booking, so nobody may run it or call it not run; also not the new daemon
-// that gets the old one's address.
-BOOST_AUTO_TEST_CASE(killed_between_intent_and_send_answers_unknown) {
+// The platform's reply to the write of the intent is lost, and the daemon is
+// killed while it waits for it. Whether it had sent the booking is unknown, so
+// no daemon may run it or report it as not run, including a new daemon at the
+// same address.
+BOOST_AUTO_TEST_CASE(killed_between_intent_and_send_is_unknown) {
   BookingSite site;
-  site.showBucketTo(0, "visit-1");
-  site.Whole.Proxies[0]->setMode("silence");
+  site.loadBucketAt(0, "visit-1");
+  site.Cluster.Proxies[0]->setMode("silence");
   auto first = std::async(std::launch::async, [&site] {
     try {
       return site.book(0, "visit-1", 1).Outcome;
@@ -160,34 +161,35 @@
       return CallOutcome::Unknown;
     }
   });
-  site.waitForEntry("visit-1");
-  site.Whole.Daemons[0]->Process->kill();
-  const CallOutcome told = first.get();
-  site.Whole.Proxies[0]->setMode("pass");
+  site.waitForLedgerEntry("visit-1");
+  site.Cluster.Daemons[0]->Process->kill();
+  const CallOutcome firstOutcome = first.get();
+  site.Cluster.Proxies[0]->setMode("pass");
   BOOST_TEST(site.book(1, "visit-1", 2).Outcome == CallOutcome::Unknown);
-  site.Whole.restart(*site.Whole.Daemons[0]);
-  site.Whole.waitReady();
+  site.Cluster.restart(*site.Cluster.Daemons[0]);
+  site.Cluster.waitReady();
   BOOST_TEST(site.book(0, "visit-1", 3).Outcome == CallOutcome::Unknown);
-  BOOST_TEST(site.ask(2, "visit-1", 3).Outcome == CallOutcome::Unknown);
+  BOOST_TEST(site.queryOutcome(2, "visit-1", 3).Outcome ==
+             CallOutcome::Unknown);
   BOOST_TEST(site.runs("visit-1") == 0);
-  BOOST_TEST(told != CallOutcome::Done);
+  BOOST_TEST(firstOutcome != CallOutcome::Done);
 }
 
-// The host is suspended after its intent has reached the platform and before
-// it has heard so. The caller turns to another host; later the first one goes
-// on where it stood. Its booking and the repeat must not both go out.
-BOOST_AUTO_TEST_CASE(paused_between_intent_and_send_runs_once_at_most) {
+// The host is paused after its intent is stored and before it receives the
+// reply. The caller retries at another host, and later the first one resumes.
+// At most one of the two may send the booking.
+BOOST_AUTO_TEST_CASE(paused_between_intent_and_send_runs_at_most_once) {
   BookingSite site;
-  site.showBucketTo(0, "visit-1");
-  site.Whole.Proxies[0]->setMode("silence");
+  site.loadBucketAt(0, "visit-1");
+  site.Cluster.Proxies[0]->setMode("silence");
   auto first = std::async(std::launch::async,
                           [&site] { return site.book(0, "visit-1", 1); });
-  site.waitForEntry("visit-1");
-  site.Whole.Daemons[0]->Process->pause();
-  site.Whole.Proxies[0]->setMode("pass");
+  site.waitForLedgerEntry("visit-1");
+  site.Cluster.Daemons[0]->Process->pause();
+  site.Cluster.Proxies[0]->setMode("pass");
   const DeskCallAnswer second = site.book(1, "visit-1", 2);
   const int runsBefore = site.runs("visit-1");
-  site.Whole.Daemons[0]->Process->resume();
+  site.Cluster.Daemons[0]->Process->resume();
   const DeskCallAnswer late = first.get();
   BOOST_TEST(second.Outcome != CallOutcome::NotRun);
   BOOST_TEST(runsBefore <= 1);
@@ -200,18 +202,18 @@
 
 static const int LostReplyRows[] = {1, 2, 3};
 
-// The platform takes the intent and its reply is lost. Taken for a failure the
-// booking would be refused although its key is used up; taken for a success
-// that it isn't, two hosts would send it.
-BOOST_DATA_TEST_CASE(lost_replies_of_the_ledger_do_no_harm,
+// The platform stores the intent, and its reply is lost. If the daemon took
+// this for a failure, the booking would be refused although its key is used up;
+// if it took it for a success when it is not, two hosts would send it.
+BOOST_DATA_TEST_CASE(lost_replies_of_the_ledger_leave_one_run,
                      data::make(LostReplyRows), count) {
   const BookingSite site(2);
-  site.Whole.setPlatformFaults(
+  site.Cluster.setPlatformFaults(
       "{\"lose_prefix\":\"ledger/\",\"lose_replies\":" + std::to_string(count) +
       "}");
   BOOST_TEST(site.book(0, "visit-1", 1).Outcome == CallOutcome::Done);
   BOOST_TEST(site.runs("visit-1") == 1);
-  site.waitForDone(1, "visit-1", 2);
+  site.waitUntilDone(1, "visit-1", 2);
   BOOST_TEST(site.runs("visit-1") == 1);
 }
 
@@ -219,8 +221,8 @@
   const char *Name;
   const char *Faults;
   std::size_t Desks;
-  CallOutcome First;
-  CallOutcome Repeat;
+  CallOutcome FirstOutcome;
+  CallOutcome RetryOutcome;
   int Runs;
 };
 
@@ -229,11 +231,11 @@
 }
 
 static const DeskFaultRow DeskFaultRows[] = {
-    {"answer lost", "{\"lose_replies\":1}", 2, CallOutcome::Unknown,
+    {"response lost", "{\"lose_replies\":1}", 2, CallOutcome::Unknown,
      CallOutcome::Unknown, 1},
-    {"answer crossed", "{\"cross_replies\":1}", 2, CallOutcome::Unknown,
-     CallOutcome::Unknown, 1},
-    {"answer later than the daemon waits", "{\"delay_ms\":5500}", 2,
+    {"response with another id", "{\"cross_replies\":1}", 2,
+     CallOutcome::Unknown, CallOutcome::Unknown, 1},
+    {"response after the daemon's time limit", "{\"delay_ms\":5500}", 2,
      CallOutcome::Unknown, CallOutcome::Unknown, 1},
     {"rejected by one replica", "{\"reject\":1}", 1, CallOutcome::Done,
      CallOutcome::Done, 1},
@@ -241,124 +243,128 @@
      CallOutcome::NotRun, 0},
 };
 
-// The desk has the dispatch and its answer never comes, comes too late, or
-// belongs to another call: the van may be on its way. Or the desk says that it
-// didn't take it: then another replica may.
-BOOST_DATA_TEST_CASE(desk_faults_run_the_call_once_at_most,
+// The desk runs the dispatch and its response is lost, late, or carries another
+// call's id, so the outcome is unknown. Or the desk rejects the call; then
+// another replica may run it.
+BOOST_DATA_TEST_CASE(desk_faults_run_the_call_at_most_once,
                      data::make(DeskFaultRows), row) {
   const BookingSite site(2);
   site.setDeskFaults(row.Faults, row.Desks);
-  BOOST_TEST(site.book(0, "dispatch-1", 1).Outcome == row.First);
-  if (row.First == CallOutcome::Done)
-    site.waitForDone(1, "dispatch-1", 2);
-  BOOST_TEST(site.book(1, "dispatch-1", 2).Outcome == row.Repeat);
-  BOOST_TEST(site.ask(0, "dispatch-1", 2).Outcome == row.Repeat);
+  BOOST_TEST(site.book(0, "dispatch-1", 1).Outcome == row.FirstOutcome);
+  if (row.FirstOutcome == CallOutcome::Done)
+    site.waitUntilDone(1, "dispatch-1", 2);
+  BOOST_TEST(site.book(1, "dispatch-1", 2).Outcome == row.RetryOutcome);
+  BOOST_TEST(site.queryOutcome(0, "dispatch-1", 2).Outcome == row.RetryOutcome);
   BOOST_TEST(site.runs("dispatch-1") == row.Runs);
 }
 
-// Something between daemon and desk forgets the connections that are open. A
-// dispatch written to one of them would be lost without a trace and could not
-// be told from one that ran.
-BOOST_AUTO_TEST_CASE(silent_connections_to_desks_hold_no_call) {
-  Deployment whole;
-  TestUpstream &desk = whole.addDesk("zone-a");
+// A middlebox drops the state of open connections to a desk. A dispatch written
+// to one of them would be lost, and the daemon could not distinguish it from
+// one that ran.
+BOOST_AUTO_TEST_CASE(silent_connections_to_desks_carry_no_call) {
+  Deployment cluster;
+  TestUpstream &desk = cluster.addDesk("zone-a");
   const std::string direct = desk.Address;
-  whole.list(desk, "gone");
-  TestProxy &proxy = whole.addProxy(direct);
+  cluster.list(desk, "gone");
+  TestProxy &proxy = cluster.addProxy(direct);
   desk.Address = proxy.Address;
-  whole.list(desk, "live");
-  whole.addDaemon("zone-a");
-  whole.roll(standardBundle(1, OnlyVersionOne));
-  whole.waitReady();
+  cluster.list(desk, "live");
+  cluster.addDaemon("zone-a");
+  cluster.roll(standardBundle(1, SingleVersionToml));
+  cluster.waitReady();
   for (int n = 0; n < 3; ++n) {
     HttpCall call;
     call.Method = "POST";
     call.Path = "/v1/desk/booking";
     call.Body = "{}";
-    // Before the daemon itself gives a silent connection up.
+    // Shorter than the time after which the daemon closes a silent connection.
     call.Headers = {{"X-Team", "crew"},
                     {"X-Deadline-Ms", "4000"},
                     {"Idempotency-Key", "dispatch-" + std::to_string(n)}};
-    const HttpReply reply = sendOnce(whole.Daemons[0]->Address, call);
+    const HttpReply reply = sendOnce(cluster.Daemons[0]->Address, call);
     BOOST_TEST(parseDeskCall(reply).Outcome == CallOutcome::Done);
     proxy.setMode("freeze");
   }
 }
 
-// The platform's store is down for the night. A caller's own key can't be run
-// safely and is refused at once, truthfully: only a first attempt is called
-// not run. Dispatches go on with tickets, also through another daemon.
+// The object API is down. A call with the caller's own key cannot be run safely
+// and is refused at once; only a first attempt is reported as not run. Calls
+// with tickets still run, also through another daemon.
 BOOST_AUTO_TEST_CASE(tickets_run_in_an_outage_of_the_object_api) {
   const BookingSite site;
-  site.waitForLinks();
-  const std::string ticket = site.takeTicket(0);
-  site.Whole.setPlatformFaults("{\"down\":true}");
+  site.waitForPeerLinks();
+  const std::string ticket = site.requestTicket(0);
+  site.Cluster.setPlatformFaults("{\"down\":true}");
   const DeskCallAnswer refused = site.book(0, "visit-1", 1);
   BOOST_TEST(refused.Outcome == CallOutcome::NotRun);
   BOOST_TEST(refused.RetryAfter.count() > 0);
   BOOST_TEST(site.book(1, "visit-1", 2).Outcome == CallOutcome::Unknown);
-  BOOST_TEST(site.ask(1, "visit-1", 2).Outcome == CallOutcome::Unknown);
+  BOOST_TEST(site.queryOutcome(1, "visit-1", 2).Outcome ==
+             CallOutcome::Unknown);
 
   BOOST_TEST(site.book(0, ticket, 1).Outcome == CallOutcome::Done);
-  site.waitForDone(1, ticket, 2);
-  site.waitForDone(2, ticket, 3);
+  site.waitUntilDone(1, ticket, 2);
+  site.waitUntilDone(2, ticket, 3);
   BOOST_TEST(site.runs(ticket) == 1);
-  const std::string fresh = site.takeTicket(1);
+  const std::string fresh = site.requestTicket(1);
   BOOST_TEST(site.book(0, fresh, 1).Outcome == CallOutcome::Done);
   BOOST_TEST(site.runs(fresh) == 1);
 
-  site.Whole.setPlatformFaults("{\"down\":false}");
+  site.Cluster.setPlatformFaults("{\"down\":false}");
   BOOST_TEST(site.book(2, "visit-1", 3).Outcome == CallOutcome::Done);
   BOOST_TEST(site.runs("visit-1") == 1);
 }
 
-// The daemon that gave out the ticket is gone, and later a new one has its
-// address. Whether the dispatch ran died with the old one.
-BOOST_AUTO_TEST_CASE(tickets_of_a_dead_daemon_answer_unknown) {
+// The daemon that issued the ticket is killed, and later a new one has its
+// address. Only the old one knew whether the call ran.
+BOOST_AUTO_TEST_CASE(tickets_of_a_killed_daemon_are_unknown) {
   BookingSite site;
-  const std::string used = site.takeTicket(0);
+  const std::string used = site.requestTicket(0);
   BOOST_TEST(site.book(1, used, 1).Outcome == CallOutcome::Done);
-  site.Whole.Daemons[0]->Process->kill();
+  site.Cluster.Daemons[0]->Process->kill();
   BOOST_TEST(site.book(1, used, 2).Outcome == CallOutcome::Unknown);
-  site.Whole.restart(*site.Whole.Daemons[0]);
-  site.Whole.waitReady();
+  site.Cluster.restart(*site.Cluster.Daemons[0]);
+  site.Cluster.waitReady();
   BOOST_TEST(site.book(1, used, 3).Outcome == CallOutcome::Unknown);
   BOOST_TEST(site.book(0, used, 4).Outcome == CallOutcome::Unknown);
-  BOOST_TEST(site.ask(2, used, 4).Outcome == CallOutcome::Unknown);
+  BOOST_TEST(site.queryOutcome(2, used, 4).Outcome == CallOutcome::Unknown);
   BOOST_TEST(site.runs(used) == 1);
 }
 
-// A caller gives a booking up and asks what became of it. The answer "not run"
-// must stay true when the lost attempt arrives after all.
-BOOST_AUTO_TEST_CASE(a_query_that_says_not_run_keeps_late_attempts_out) {
+// A caller gives up on a booking and queries its outcome. The response "not
+// run" must stay true when the lost attempt arrives later.
+BOOST_AUTO_TEST_CASE(a_query_that_reports_not_run_blocks_late_attempts) {
   const BookingSite site;
-  for (const std::string &key : {std::string("visit-1"), site.takeTicket(0)}) {
-    BOOST_TEST(site.ask(0, key, 2).Outcome == CallOutcome::NotRun);
+  for (const std::string &key :
+       {std::string("visit-1"), site.requestTicket(0)}) {
+    BOOST_TEST(site.queryOutcome(0, key, 2).Outcome == CallOutcome::NotRun);
     BOOST_TEST(site.book(1, key, 1).Outcome == CallOutcome::NotRun);
     BOOST_TEST(site.book(2, key, 2).Outcome == CallOutcome::NotRun);
     BOOST_TEST(site.runs(key) == 0);
     BOOST_TEST(site.book(1, key, 3).Outcome == CallOutcome::Done);
-    site.waitForDone(2, key, 4);
+    site.waitUntilDone(2, key, 4);
     BOOST_TEST(site.runs(key) == 1);
   }
 }
 
-// A host is being stopped while a booking runs there, and the impatient caller
-// repeats it. The refusal must not say that the booking was not run.
-BOOST_AUTO_TEST_CASE(a_repeat_shed_by_a_stopping_host_is_not_called_not_run) {
+// A host is stopping while a booking runs there, and the caller retries it. The
+// rejection must not report the booking as not run.
+BOOST_AUTO_TEST_CASE(
+    a_retry_rejected_by_a_stopping_host_is_not_reported_not_run) {
   const BookingSite site;
   site.setDeskFaults("{\"delay_ms\":3000}");
   auto first = std::async(std::launch::async,
                           [&site] { return site.book(0, "visit-1", 1); });
-  waitUntil("the booking runs", [&] { return site.runs("visit-1") == 1; });
-  site.Whole.Daemons[0]->Process->terminate();
-  waitUntil("the host is stopping", [&site] {
+  waitUntil("the booking to run", [&] { return site.runs("visit-1") == 1; });
+  site.Cluster.Daemons[0]->Process->terminate();
+  waitUntil("the host to be stopping", [&site] {
     const std::string ready = Deployment::get(site.entry(0), "/readyz");
     return ready.find("not ready") != std::string::npos;
   });
   BOOST_TEST(site.book(0, "visit-1", 2).Outcome == CallOutcome::Unknown);
   BOOST_TEST(site.book(0, "visit-2", 1).Outcome == CallOutcome::NotRun);
-  BOOST_TEST(site.ask(0, "visit-1", 2).Outcome == CallOutcome::Unknown);
+  BOOST_TEST(site.queryOutcome(0, "visit-1", 2).Outcome ==
+             CallOutcome::Unknown);
   BOOST_TEST(first.get().Outcome == CallOutcome::Done);
   BOOST_TEST(site.runs("visit-1") == 1);
   BOOST_TEST(site.runs("visit-2") == 0);
@@ -373,25 +379,38 @@
 };
 
 static const RefusalRow RefusalRows[] = {
-    {"first, unknown route", "unheard", {"X-Team", "crew"}, 1, "not_run"},
-    {"repeat, unknown route", "unheard", {"X-Team", "crew"}, 2, "unknown"},
-    {"first, unknown team", "booking", {"X-Team", "nobody"}, 1, "not_run"},
-    {"repeat, unknown team", "booking", {"X-Team", "nobody"}, 2, "unknown"},
-    {"repeat, bad deadline",
+    {"first, unknown route",
+     "no-such-operation",
+     {"X-Team", "crew"},
+     1,
+     "not_run"},
+    {"retry, unknown route",
+     "no-such-operation",
+     {"X-Team", "crew"},
+     2,
+     "unknown"},
+    {"first, unknown team",
+     "booking",
+     {"X-Team", "no-such-team"},
+     1,
+     "not_run"},
+    {"retry, unknown team",
      "booking",
-     {"X-Deadline-Ms", "soon"},
+     {"X-Team", "no-such-team"},
      2,
      "unknown"},
+    {"retry, bad deadline", "booking", {"X-Deadline-Ms", "soon"}, 2, "unknown"},
 };
 
-// Between the first attempt, which ran, and its repeat the route was taken out
-// of the bundle, or the repeat is malformed. It is refused without a look into
-// the ledger, so the refusal may not say "not run".
-BOOST_AUTO_TEST_CASE(refusals_of_bad_repeats_do_not_speak_of_the_first) {
-  Deployment whole;
-  whole.addDaemon("zone-a");
-  whole.roll(standardBundle(1, OnlyVersionOne));
-  whole.waitReady();
+// After the first attempt has run, the route is removed from the bundle, or the
+// retry is malformed. The retry is rejected without a look-up in the ledger, so
+// the rejection must not report "not run".
+BOOST_AUTO_TEST_CASE(
+    rejections_of_bad_retries_do_not_report_on_the_first_attempt) {
+  Deployment cluster;
+  cluster.addDaemon("zone-a");
+  cluster.roll(standardBundle(1, SingleVersionToml));
+  cluster.waitReady();
   for (const RefusalRow &row : RefusalRows) {
     HttpCall call;
     call.Method = "POST";
@@ -400,7 +419,7 @@
     call.Headers = {row.Extra,
                     {"Idempotency-Key", "visit-1"},
                     {"X-Attempt", std::to_string(row.Attempt)}};
-    const HttpReply reply = sendOnce(whole.Daemons[0]->Address, call);
+    const HttpReply reply = sendOnce(cluster.Daemons[0]->Address, call);
     const auto document = nlohmann::json::parse(reply.Body);
     BOOST_TEST(document["outcome"] == row.Outcome, row.Name);
   }
--- a/Tests/Integration/TestBadInput.cpp
+++ b/Tests/Integration/TestBadInput.cpp
@@ -11,20 +11,20 @@
 
 namespace {
 
-/// A daemon that serves, shared by all rows: each must leave it serving.
+/// A daemon that all rows share; each row must leave it serving.
 struct ServingDaemon {
   ServingDaemon() {
-    Whole.addEngine("zone-a", "v1");
-    Whole.addDesk("zone-a");
-    Whole.addDaemon("zone-a");
-    Whole.roll(standardBundle(1, OnlyVersionOne));
-    Whole.waitReady();
+    Cluster.addEngine("zone-a", "v1");
+    Cluster.addDesk("zone-a");
+    Cluster.addDaemon("zone-a");
+    Cluster.roll(standardBundle(1, SingleVersionToml));
+    Cluster.waitReady();
   }
   static Deployment &instance() {
     static ServingDaemon only;
-    return only.Whole;
+    return only.Cluster;
   }
-  Deployment Whole;
+  Deployment Cluster;
 };
 
 struct RequestRow {
@@ -62,13 +62,13 @@
      "unknown-model"},
     {"unknown route",
      Chat,
-     {Crew, {"X-Route", "nowhere"}},
+     {Crew, {"X-Route", "no-such-route"}},
      GoodChat,
      404,
      "unknown-route"},
     {"unknown team",
      Chat,
-     {{"X-Team", "strangers"}},
+     {{"X-Team", "no-such-team"}},
      GoodChat,
      403,
      "unknown-team"},
@@ -86,7 +86,7 @@
      413,
      "too-large"},
     {"unknown operation",
-     "/v1/desk/nothing",
+     "/v1/desk/no-such-operation",
      {Crew},
      "{}",
      404,
@@ -101,7 +101,7 @@
     {"unknown path", "/v2/anything", {Crew}, "{}", 404, "not-found"},
 };
 
-/// Sends bytes and leaves the connection open without finishing a request.
+/// Sends an incomplete request and keeps the connection open.
 class SlowSender {
 public:
   SlowSender(const std::string &address, const std::string &bytes) {
@@ -131,8 +131,8 @@
 
 BOOST_AUTO_TEST_SUITE(BadInput)
 
-// A caller's program has a mistake, or somebody means harm. Without checks at
-// the edge a homeowner's chat would break off because of a stranger's request.
+// A caller sends a malformed or hostile request. Without validation at the
+// entry host it could interrupt the responses of other callers.
 BOOST_DATA_TEST_CASE(bad_requests_get_a_typed_answer,
                      boost::unit_test::data::make(RequestRows), row) {
   const std::string &address = ServingDaemon::instance().Daemons[0]->Address;
@@ -146,7 +146,7 @@
   const std::string type = std::string("\"urn:sorrelbay:problem:") + row.Type;
   BOOST_TEST(reply.Body.find(type) != std::string::npos, reply.Body);
   BOOST_TEST(reply.Body.find("\"outcome\":\"not_run\"") != std::string::npos);
-  BOOST_TEST(streamChat(address, "still there?", 3).IsWhole);
+  BOOST_TEST(streamChat(address, "still serving?", 3).IsWhole);
 }
 
 struct SenderRow {
@@ -170,42 +170,43 @@
     {"garbage on the peer port", true, "\xff\xff\xff\xff"},
 };
 
-// Connections that are held open with half a request would take the places of
-// honest callers if one could block the others.
+// A client keeps a connection open with an incomplete request. If such
+// connections could block others, callers would not be served.
 BOOST_DATA_TEST_CASE(slow_senders_block_nobody,
                      boost::unit_test::data::make(SenderRows), row) {
   const TestDaemon &daemon = *ServingDaemon::instance().Daemons[0];
   const SlowSender sender(row.IsPeerPort ? daemon.PeerAddress : daemon.Address,
                           row.Bytes);
-  // The peer port opens only with the peer link.
+  // The peer port is open only while the peer link runs.
   BOOST_TEST((row.IsPeerPort || sender.hasConnected()));
-  BOOST_TEST(streamChat(daemon.Address, "still there?", 3).IsWhole);
+  BOOST_TEST(streamChat(daemon.Address, "still serving?", 3).IsWhole);
   BOOST_TEST(daemon.Process->isRunning());
 }
 
-static const bool TakenPortRows[] = {false, true};
+static const bool PortInUseRows[] = {false, true};
 
-// An operator starts a daemon beside one that still holds its port, or gives
-// the same port twice. One that dies without a word leaves the operator to
-// guess; callers find one host fewer.
-BOOST_DATA_TEST_CASE(a_daemon_whose_port_is_taken_says_so,
-                     boost::unit_test::data::make(TakenPortRows), isPeerPort) {
-  const Deployment &whole = ServingDaemon::instance();
-  const TestDaemon &first = *whole.Daemons[0];
+// A daemon is started with a port that another one is using, or the same port
+// is configured twice. It must exit with an error that names the port, or the
+// operator cannot find the cause.
+BOOST_DATA_TEST_CASE(a_daemon_whose_port_is_in_use_reports_it,
+                     boost::unit_test::data::make(PortInUseRows), isPeerPort) {
+  const Deployment &cluster = ServingDaemon::instance();
+  const TestDaemon &first = *cluster.Daemons[0];
   BOOST_TEST_REQUIRE(first.Process->isRunning());
-  TestDaemon place;
-  place.Zone = first.Zone;
-  place.Platform = first.Platform;
+  TestDaemon conflicting;
+  conflicting.Zone = first.Zone;
+  conflicting.Platform = first.Platform;
   const std::string host = first.Address.substr(0, first.Address.find(':'));
-  place.Address = isPeerPort ? host + ":0" : first.Address;
-  place.PeerAddress = isPeerPort ? first.PeerAddress : host + ":0";
-  ChildProcess second("sorrelbayd",
-                      {"--settings", whole.writeSettings("second", place)},
-                      whole.logPath("second"));
+  conflicting.Address = isPeerPort ? host + ":0" : first.Address;
+  conflicting.PeerAddress = isPeerPort ? first.PeerAddress : host + ":0";
+  ChildProcess second(
+      "sorrelbayd",
+      {"--settings", cluster.writeSettings("second", conflicting)},
+      cluster.logPath("second"));
   BOOST_TEST(second.wait() == 1);
   BOOST_TEST(second.hasLogged("daemon failed"));
-  const std::string &taken = isPeerPort ? first.PeerAddress : first.Address;
-  BOOST_TEST(second.hasLogged(taken), taken);
+  const std::string &portInUse = isPeerPort ? first.PeerAddress : first.Address;
+  BOOST_TEST(second.hasLogged(portInUse), portInUse);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Tests/Integration/TestBadVersions.cpp
+++ b/Tests/Integration/TestBadVersions.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-std::string movingTo(const std::string &version, int seconds) {
+std::string rolloutVersionsToml(const std::string &version, int seconds) {
   return R"(
 [[version]]
 id = "v1"
@@ -31,7 +31,7 @@
                             "requests");
 }
 
-/// Callers that ask all daemons, on both routes, until the end.
+/// Callers that send chats to all daemons on both routes until destroyed.
 class Callers {
 public:
   explicit Callers(const Deployment &deployment) {
@@ -39,7 +39,7 @@
     for (const auto &it : deployment.Daemons)
       for (int n = 0; n < CallersPerDaemon; ++n)
         Threads.emplace_back([this, address = it->Address, n] {
-          ask(address, n == 0 ? "quote" : "chat");
+          sendChats(address, n == 0 ? "quote" : "chat");
         });
   }
   ~Callers() {
@@ -54,7 +54,7 @@
   std::atomic<bool> IsOver{false};
   std::vector<std::thread> Threads;
 
-  void ask(const std::string &address, const std::string &route) {
+  void sendChats(const std::string &address, const std::string &route) {
     while (!IsOver) {
       streamChat(address, "Which oak?", 1, {{"X-Route", route}});
       std::this_thread::sleep_for(milliseconds(2));
@@ -62,30 +62,30 @@
   }
 };
 
-/// Two engines of the old version, one of the new one, three daemons.
+/// Two engines of the old version, one of the new version, and three daemons.
 struct TwoVersions {
   TwoVersions()
-      : Old(Whole.addEngine("zone-a", "v1")),
-        AlsoOld(Whole.addEngine("zone-b", "v1")),
-        New(Whole.addEngine("zone-a", "v2")) {
+      : Old(Cluster.addEngine("zone-a", "v1")),
+        SecondOld(Cluster.addEngine("zone-b", "v1")),
+        New(Cluster.addEngine("zone-a", "v2")) {
     for (const char *zone : {"zone-a", "zone-b", "zone-c"})
-      Whole.addDaemon(zone);
-    Whole.roll(standardBundle(1, OnlyVersionOne));
-    Whole.waitReady();
+      Cluster.addDaemon(zone);
+    Cluster.roll(standardBundle(1, SingleVersionToml));
+    Cluster.waitReady();
   }
 
   void rollTo(int seconds) {
-    std::string bundle = standardBundle(2, movingTo("v2", seconds));
-    const std::string usual = "latency_target_ms = 2000";
-    for (auto n = bundle.find(usual); n != std::string::npos;
-         n = bundle.find(usual))
-      bundle.replace(n, usual.size(), "latency_target_ms = 300");
-    Whole.roll(bundle);
-    Whole.waitReady(2);
+    std::string bundle = standardBundle(2, rolloutVersionsToml("v2", seconds));
+    const std::string usualLatencyTarget = "latency_target_ms = 2000";
+    for (auto n = bundle.find(usualLatencyTarget); n != std::string::npos;
+         n = bundle.find(usualLatencyTarget))
+      bundle.replace(n, usualLatencyTarget.size(), "latency_target_ms = 300");
+    Cluster.roll(bundle);
+    Cluster.waitReady(2);
   }
 
   MoveStatus status() const {
-    const ObjectApi objects = connectObjectApi(Whole.platform(), seconds(5));
+    const ObjectApi objects = connectObjectApi(Cluster.platform(), seconds(5));
     for (const MoveStatus &it : readMoveStatuses(objects))
       if (it.Version == VersionId("v2"))
         return it;
@@ -93,46 +93,48 @@
   }
 
   void waitFor(MoveState state) const {
-    waitUntil(std::string("the move to be ") + nameOf(state),
+    waitUntil(std::string("the rollout state to be ") + nameOf(state),
               [&] { return status().State == state; });
   }
 
-  /// The status is written by whoever finds the version bad; the others hear of
-  /// it a moment later. Every one of them must.
-  void waitUntilAllKnow() const {
-    for (const auto &it : Whole.Daemons)
-      waitUntil(it->Address + " knows that the version is bad",
+  /// The first daemon that finds the version bad writes the status; the others
+  /// read it later. Waits until each has rolled the version back.
+  void waitUntilRolledBackEverywhere() const {
+    for (const auto &it : Cluster.Daemons)
+      waitUntil(it->Address + " rolls the version back",
                 [&] { return it->Process->hasLogged("version taken back"); });
   }
 
-  /// Waits until the old version gets many calls and the new one none.
-  void waitForEndOfNewCalls() const {
+  /// Waits until the old version receives many calls while the new one receives
+  /// none.
+  void waitForLastCallToNew() const {
     constexpr int ManyCalls = 300;
-    waitUntil("the end of calls to the new version", [this] {
+    waitUntil("the last call to the new version", [this] {
       const std::int64_t before = requestsAt(New);
       const std::int64_t others = requestsAt(Old);
-      waitUntil("more calls",
+      waitUntil("more calls to the old version",
                 [&] { return requestsAt(Old) > others + ManyCalls; });
       return requestsAt(New) == before;
     });
   }
 
-  /// Calls that the new version gets while every daemon answers so many.
-  std::int64_t callsToNewIn(int calls) const {
+  /// The number of calls that the new version receives while each daemon serves
+  /// this many.
+  std::int64_t callsToNewDuring(int calls) const {
     const std::int64_t before = requestsAt(New);
     for (int n = 0; n < calls; ++n)
-      for (const auto &it : Whole.Daemons)
+      for (const auto &it : Cluster.Daemons)
         streamChat(it->Address, "Which oak?", 1);
     return requestsAt(New) - before;
   }
 
-  Deployment Whole;
+  Deployment Cluster;
   TestUpstream &Old;
-  TestUpstream &AlsoOld;
+  TestUpstream &SecondOld;
   TestUpstream &New;
 };
 
-/// What is wrong with the new version, as the stand-in is told.
+/// A fault of the new version, as JSON for the fake engine.
 struct BadRow {
   const char *Name;
   const char *Faults;
@@ -156,45 +158,49 @@
 
 BOOST_AUTO_TEST_SUITE(BadVersions)
 
-// A new version is bad in one of several ways. Without a judge every caller
-// would meet it; with one a few do, and then none, at whichever daemon.
-BOOST_DATA_TEST_CASE(a_bad_version_is_taken_back_everywhere,
+// A new version is bad in one of several ways. Without the canary judge every
+// caller would reach it; with it a few do, and after the rollback none at any
+// daemon.
+BOOST_DATA_TEST_CASE(a_bad_version_is_rolled_back_everywhere,
                      boost::unit_test::data::make(BadRows), row) {
   TwoVersions two;
   Deployment::post(two.New.Address, "/admin/faults", row.Faults);
   two.rollTo(60);
   {
-    const Callers callers(two.Whole);
+    const Callers callers(two.Cluster);
     two.waitFor(MoveState::TakenBack);
   }
   BOOST_TEST(two.status().Reason.find(row.Reason) == 0U);
-  two.waitUntilAllKnow();
-  BOOST_TEST(two.callsToNewIn(CallsAfter) == 0);
+  two.waitUntilRolledBackEverywhere();
+  BOOST_TEST(two.callsToNewDuring(CallsAfter) == 0);
 }
 
-// The version is good until it has the full share, and bad after. Were judging
-// over by then, every caller would go on meeting it.
-BOOST_AUTO_TEST_CASE(a_version_that_turns_bad_after_the_move_is_taken_back) {
+// A version turns bad after it has received the full share. If judging had
+// ended by then, it would stay in use.
+BOOST_AUTO_TEST_CASE(
+    a_version_that_turns_bad_after_the_rollout_is_rolled_back) {
   TwoVersions two;
   two.rollTo(6);
-  const Callers callers(two.Whole);
+  const Callers callers(two.Cluster);
   two.waitFor(MoveState::Done);
   Deployment::post(two.New.Address, "/admin/faults", R"({"fail_share":0.5})");
   two.waitFor(MoveState::TakenBack);
 }
 
 // One daemon is paused while the others find the version bad, and another is
-// restarted after. Calls wait at the paused one and are read when it goes on,
-// before the news of the veto is: their callers would meet the bad version.
-BOOST_AUTO_TEST_CASE(daemons_paused_or_restarted_over_the_veto_obey_it) {
+// restarted later. Calls queue at the paused daemon, and when it resumes it
+// reads them before it reads the veto: it must not send them to the bad
+// version.
+BOOST_AUTO_TEST_CASE(daemons_paused_or_restarted_during_the_veto_apply_it) {
   TwoVersions two;
   two.rollTo(8);
-  TestDaemon &paused = *two.Whole.Daemons[2];
+  TestDaemon &paused = *two.Cluster.Daemons[2];
   std::vector<std::thread> waiting;
   std::int64_t before = 0;
   {
-    const Callers callers(two.Whole);
-    waitUntil("more than a probe", [&] { return two.status().Stage > 1; });
+    const Callers callers(two.Cluster);
+    waitUntil("a stage after the first one",
+              [&] { return two.status().Stage > 1; });
     paused.Process->pause();
     Deployment::post(two.New.Address, "/admin/faults", R"({"fail_share":0.8})");
     two.waitFor(MoveState::TakenBack);
@@ -202,32 +208,32 @@
       waiting.emplace_back([&paused, n] {
         streamChat(paused.Address, "Which oak, number " + std::to_string(n), 1);
       });
-    two.waitForEndOfNewCalls();
+    two.waitForLastCallToNew();
     before = requestsAt(two.New);
-    // A pause is one from a second on.
+    // The daemon detects a pause only from one second on.
     std::this_thread::sleep_for(milliseconds(1500));
     paused.Process->resume();
     for (std::thread &it : waiting)
       it.join();
   }
   BOOST_TEST(requestsAt(two.New) == before);
-  two.Whole.restart(*two.Whole.Daemons[0]);
-  two.Whole.waitReady(2);
-  BOOST_TEST(two.callsToNewIn(CallsAfter) == 0);
+  two.Cluster.restart(*two.Cluster.Daemons[0]);
+  two.Cluster.waitReady(2);
+  BOOST_TEST(two.callsToNewDuring(CallsAfter) == 0);
 }
 
-// The object API is down when the fault shows. Daemons stop on what they have
-// seen themselves, and status tells the reason once it is back.
-BOOST_AUTO_TEST_CASE(a_bad_version_is_taken_back_without_the_object_api) {
+// The object API is down when the version turns bad. Daemons stop using it on
+// their own evidence, and the status states the reason once the API is back.
+BOOST_AUTO_TEST_CASE(a_bad_version_is_rolled_back_without_the_object_api) {
   TwoVersions two;
   two.rollTo(60);
-  const Callers callers(two.Whole);
+  const Callers callers(two.Cluster);
   waitUntil("calls to the new version",
             [&] { return requestsAt(two.New) > 0; });
-  two.Whole.setPlatformFaults(R"({"down":true})");
+  two.Cluster.setPlatformFaults(R"({"down":true})");
   Deployment::post(two.New.Address, "/admin/faults", R"({"fail_share":0.9})");
-  two.waitForEndOfNewCalls();
-  two.Whole.setPlatformFaults(R"({"down":false})");
+  two.waitForLastCallToNew();
+  two.Cluster.setPlatformFaults(R"({"down":false})");
   two.waitFor(MoveState::TakenBack);
 }
 
--- a/Tests/Integration/TestBundles.cpp
+++ b/Tests/Integration/TestBundles.cpp
@@ -11,14 +11,14 @@
 namespace {
 
 constexpr Duration Timeout = seconds(5);
-constexpr std::size_t OperatorCount = 6;
+constexpr std::size_t OperatorsAtOnce = 6;
 
 SignedBundle foreignBundle(int generation, const SigningKey &key) {
   return signBundle(
-      parseBundle(standardBundle(generation, OnlyVersionOne), "b"), key);
+      parseBundle(standardBundle(generation, SingleVersionToml), "b"), key);
 }
 
-/// Three daemons that each reach the platform through a proxy of their own.
+/// Three daemons that each reach the platform through their own proxy.
 struct ProxiedDaemons {
   Deployment All;
 
@@ -29,10 +29,12 @@
     All.waitReady(1);
   }
   void roll(int generation) {
-    All.roll(standardBundle(generation, OnlyVersionOne));
+    All.roll(standardBundle(generation, SingleVersionToml));
+  }
+  /// Closes all connections between the daemon and the platform.
+  void cutPlatformConnection(std::size_t n) const {
+    All.Proxies[n]->setMode("cut");
   }
-  /// The platform is out of the daemon's reach.
-  void cutOff(std::size_t n) const { All.Proxies[n]->setMode("cut"); }
   std::int64_t generation(std::size_t n) const {
     return Deployment::number(
         Deployment::get(All.Daemons[n]->Address, "/readyz"), "generation");
@@ -43,13 +45,13 @@
 
 BOOST_AUTO_TEST_SUITE(Bundles)
 
-// The object API is down when a daemon is replaced. Without peers it would
-// answer no caller until the outage is over, however long that is.
+// A daemon is restarted while the object API is down. Without its peers it
+// could not serve callers until the outage is over.
 BOOST_AUTO_TEST_CASE(daemon_started_in_an_outage_gets_the_bundle_from_peers) {
   Deployment deployment;
   for (const char *zone : {"zone-a", "zone-b", "zone-c"})
     deployment.addDaemon(zone);
-  deployment.roll(standardBundle(1, OnlyVersionOne));
+  deployment.roll(standardBundle(1, SingleVersionToml));
   deployment.waitReady(1);
   deployment.setPlatformFaults("{\"down\": true}");
   TestDaemon &daemon = *deployment.Daemons[2];
@@ -59,20 +61,21 @@
   BOOST_TEST(daemon.Process->hasLogged("\"from\":\"peer\""));
 }
 
-// Only one daemon can reach the object API when a bundle is rolled. Callers of
-// the others would be served by the old bundle until the outage is over.
-BOOST_AUTO_TEST_CASE(bundle_spreads_from_the_one_daemon_that_sees_it) {
+// Only one daemon reaches the object API when a bundle is rolled. The others
+// must receive the bundle from it, or they would serve callers with the old one
+// until the outage is over.
+BOOST_AUTO_TEST_CASE(bundle_spreads_from_the_one_daemon_that_reads_it) {
   ProxiedDaemons daemons;
-  daemons.cutOff(1);
-  daemons.cutOff(2);
+  daemons.cutPlatformConnection(1);
+  daemons.cutPlatformConnection(2);
   daemons.roll(2);
   daemons.All.waitReady(2);
   BOOST_TEST(daemons.All.Daemons[1]->Process->hasLogged("\"from\":\"peer\""));
 }
 
-// A daemon sleeps while two bundles are rolled, and wakes with what lay in its
-// sockets. It must come to the newest bundle and not stop at an older one.
-BOOST_AUTO_TEST_CASE(paused_daemon_comes_to_the_newest_bundle) {
+// A daemon is paused while two bundles are rolled and resumes with stale data
+// in its sockets. It must load the newest bundle and not stop at an older one.
+BOOST_AUTO_TEST_CASE(paused_daemon_loads_the_newest_bundle) {
   ProxiedDaemons daemons;
   daemons.All.Daemons[1]->Process->pause();
   daemons.roll(2);
@@ -83,30 +86,30 @@
   BOOST_TEST(daemons.generation(1) == 3);
 }
 
-// Somebody who can write to the object API puts a bundle there that no accepted
-// key signed, and bytes that are no bundle at all.
-BOOST_AUTO_TEST_CASE(foreign_bundle_never_comes_into_force) {
+// A client with write access to the object API stores a bundle that no accepted
+// key has signed, and then bytes that are not a bundle.
+BOOST_AUTO_TEST_CASE(bundle_with_a_foreign_key_is_never_in_force) {
   Deployment deployment;
   deployment.addDaemon("zone-a");
-  deployment.roll(standardBundle(1, OnlyVersionOne));
+  deployment.roll(standardBundle(1, SingleVersionToml));
   deployment.waitReady(1);
   const ObjectApi api = connectObjectApi(deployment.platform(), Timeout);
   rollBundle(api, foreignBundle(50, SigningKey::generate()));
   const TestDaemon &daemon = *deployment.Daemons[0];
-  waitUntil("refusal of the foreign bundle",
+  waitUntil("rejection of the bundle with a foreign key",
             [&] { return daemon.Process->hasLogged("is not accepted here"); });
   const auto stored = api.Read(CurrentBundleObject);
-  api.Write(CurrentBundleObject, "scribble", stored->Version);
-  waitUntil("refusal of the scribble",
+  api.Write(CurrentBundleObject, "not a bundle", stored->Version);
+  waitUntil("rejection of the bytes that are not a bundle",
             [&] { return daemon.Process->hasLogged("can't be decoded"); });
   const std::string ready = Deployment::get(daemon.Address, "/readyz");
   BOOST_TEST(Deployment::number(ready, "generation") == 1);
-  deployment.roll(standardBundle(2, OnlyVersionOne));
+  deployment.roll(standardBundle(2, SingleVersionToml));
   deployment.waitReady(2);
 }
 
-// The object API takes the bundle and the reply is lost on the way back.
-BOOST_AUTO_TEST_CASE(roll_with_a_lost_reply_is_settled) {
+// The object API stores the bundle, and its reply is lost.
+BOOST_AUTO_TEST_CASE(roll_with_a_lost_reply_is_resolved) {
   Deployment deployment;
   TestProxy &proxy = deployment.addProxy(deployment.platform());
   proxy.setMode("drop_reply");
@@ -128,17 +131,19 @@
   BOOST_TEST(rollBundle(api, bundle).WasCurrent);
 }
 
-// Several operators roll different bundles under one generation at once.
-BOOST_AUTO_TEST_CASE(of_racing_operators_one_wins_and_the_rest_learn_who) {
+// Several operators concurrently roll different bundles with the same
+// generation.
+BOOST_AUTO_TEST_CASE(
+    of_concurrent_operators_one_wins_and_the_rest_get_its_key_id) {
   Deployment deployment;
   std::vector<SigningKey> keys;
   std::vector<std::thread> operators;
   std::mutex mutex;
   std::vector<KeyId> winners;
   std::vector<KeyId> namedWinners;
-  keys.reserve(OperatorCount);
-  operators.reserve(OperatorCount);
-  for (std::size_t n = 0; n < OperatorCount; ++n)
+  keys.reserve(OperatorsAtOnce);
+  operators.reserve(OperatorsAtOnce);
+  for (std::size_t n = 0; n < OperatorsAtOnce; ++n)
     keys.push_back(SigningKey::generate());
   for (const SigningKey &key : keys)
     operators.emplace_back([&] {
@@ -156,7 +161,7 @@
   for (std::thread &it : operators)
     it.join();
   BOOST_REQUIRE(winners.size() == 1);
-  BOOST_TEST(namedWinners.size() == OperatorCount - 1);
+  BOOST_TEST(namedWinners.size() == OperatorsAtOnce - 1);
   for (const KeyId &it : namedWinners)
     BOOST_TEST((it == winners[0]));
 }
--- a/Tests/Integration/TestLeavingUpstream.cpp
+++ b/Tests/Integration/TestLeavingUpstream.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Who tells that the engine leaves; the other sources say nothing.
+/// The only source that reports the engine as leaving.
 enum class Source { HostList, Notice, LoadReport };
 
 struct SourceRow {
@@ -24,18 +24,19 @@
 const SourceRow SourceRows[] = {{"host list", Source::HostList},
                                 {"notice", Source::Notice},
                                 {"load report", Source::LoadReport}};
-/// Those that can be asked when the daemon goes on; a notice is only heard.
-const SourceRow AskedRows[] = {{"host list", Source::HostList},
-                               {"load report", Source::LoadReport}};
+/// Sources whose current state the daemon can poll when it resumes; notices
+/// only arrive as events.
+const SourceRow PolledRows[] = {{"host list", Source::HostList},
+                                {"load report", Source::LoadReport}};
 
-void tell(const Deployment &deployment, const TestUpstream &engine,
-          Source source) {
+void reportLeaving(const Deployment &deployment, const TestUpstream &engine,
+                   Source source) {
   switch (source) {
   case Source::HostList:
     deployment.list(engine, "leaving");
     return;
   case Source::Notice:
-    deployment.giveNotice(engine.Address, 60);
+    deployment.addReclaimNotice(engine.Address, 60);
     return;
   case Source::LoadReport:
     Deployment::post(engine.Address, "/admin/faults", R"({"leaving": true})");
@@ -48,12 +49,12 @@
                             "requests");
 }
 
-/// Streams so many chats one after the other; each must be whole. One that is
-/// refused for now is sent again.
+/// Streams n chats in sequence, each of which must be complete. A rejected chat
+/// is retried.
 void chat(const TestDaemon &daemon, int n) {
   for (int it = 0; it < n; ++it) {
     const std::string question = "question " + std::to_string(it);
-    waitUntil("an answer", [&] {
+    waitUntil("a complete response", [&] {
       const ChatAnswer answer = streamChat(daemon.Address, question, 2);
       return answer.IsWhole && answer.Text == expectedText(question, 2);
     });
@@ -65,12 +66,14 @@
     Deploy.addEngine("zone-a", "v1");
     Deploy.addEngine("zone-a", "v1");
     Deploy.addDaemon("zone-a");
-    Deploy.roll(standardBundle(1, OnlyVersionOne));
+    Deploy.roll(standardBundle(1, SingleVersionToml));
     Deploy.waitReady();
   }
 
   const TestDaemon &daemon() const { return *Deploy.Daemons.front(); }
-  const TestUpstream &leaver() const { return *Deploy.Upstreams.front(); }
+  const TestUpstream &leavingEngine() const {
+    return *Deploy.Upstreams.front();
+  }
 
   Deployment Deploy;
 };
@@ -79,69 +82,71 @@
 
 BOOST_AUTO_TEST_SUITE(LeavingUpstream)
 
-// An engine's host is to be reclaimed and only one of the platform's sources
-// says so. A caller whose chat still begins there is cut off within seconds.
-BOOST_DATA_TEST_CASE(gets_nothing_new_whoever_tells,
+// An engine's host is to be reclaimed, and only one of the platform's sources
+// reports it. A chat that still starts there would be cut off within seconds.
+BOOST_DATA_TEST_CASE(gets_no_new_calls_whichever_source_reports,
                      boost::unit_test::data::make(SourceRows), row) {
   TwoEngines run;
-  waitUntil("the engine is used", [&] {
+  waitUntil("calls to the engine", [&] {
     chat(run.daemon(), 4);
-    return requestsAt(run.leaver()) > 0;
+    return requestsAt(run.leavingEngine()) > 0;
   });
-  tell(run.Deploy, run.leaver(), row.From);
-  waitUntil("the daemon has heard", [&] {
-    const std::int64_t before = requestsAt(run.leaver());
+  reportLeaving(run.Deploy, run.leavingEngine(), row.From);
+  waitUntil("the daemon to stop calling the engine", [&] {
+    const std::int64_t before = requestsAt(run.leavingEngine());
     chat(run.daemon(), 10);
-    return requestsAt(run.leaver()) == before;
+    return requestsAt(run.leavingEngine()) == before;
   });
-  // The host list goes on calling it live where another source told.
-  const std::int64_t before = requestsAt(run.leaver());
+  // The host list still reports the engine as live if another source reported
+  // it leaving.
+  const std::int64_t before = requestsAt(run.leavingEngine());
   for (int n = 0; n < 4; ++n) {
     chat(run.daemon(), 10);
     std::this_thread::sleep_for(milliseconds(300));
   }
-  BOOST_TEST(requestsAt(run.leaver()) == before);
+  BOOST_TEST(requestsAt(run.leavingEngine()) == before);
 }
 
-// A daemon is paused while the notice comes, and callers reach it the moment
-// it goes on. What it knew before the pause would send them to the engine that
-// leaves.
-BOOST_DATA_TEST_CASE(gets_nothing_new_from_a_daemon_that_was_paused,
-                     boost::unit_test::data::make(AskedRows), row) {
+// A daemon is paused when the engine is reported as leaving, and callers reach
+// it as soon as it resumes. Its stale view would send them to the leaving
+// engine.
+BOOST_DATA_TEST_CASE(gets_no_new_calls_from_a_daemon_that_was_paused,
+                     boost::unit_test::data::make(PolledRows), row) {
   TwoEngines run;
   chat(run.daemon(), 4);
   run.daemon().Process->pause();
-  tell(run.Deploy, run.leaver(), row.From);
-  const std::int64_t before = requestsAt(run.leaver());
+  reportLeaving(run.Deploy, run.leavingEngine(), row.From);
+  const std::int64_t before = requestsAt(run.leavingEngine());
   std::this_thread::sleep_for(seconds(4));
   run.daemon().Process->resume();
   chat(run.daemon(), 40);
-  BOOST_TEST(requestsAt(run.leaver()) == before);
+  BOOST_TEST(requestsAt(run.leavingEngine()) == before);
 }
 
-// One daemon's way to the platform is cut, so that neither list nor notice
-// reaches it; only its peer knows that the engine leaves.
-BOOST_AUTO_TEST_CASE(gets_nothing_new_once_a_peer_tells) {
+// One daemon's connection to the platform is cut, so that it receives neither
+// the host list nor the notice; only its peer knows that the engine is leaving.
+BOOST_AUTO_TEST_CASE(gets_no_new_calls_once_a_peer_reports) {
   TwoEngines run;
-  const TestProxy &way = run.Deploy.addProxy(run.Deploy.platform());
-  const TestDaemon &cutOff = run.Deploy.addDaemon("zone-b", way.Address);
+  const TestProxy &platformProxy = run.Deploy.addProxy(run.Deploy.platform());
+  const TestDaemon &cutOff =
+      run.Deploy.addDaemon("zone-b", platformProxy.Address);
   run.Deploy.waitReady();
-  waitUntil("the engine is used", [&] {
+  waitUntil("calls to the engine", [&] {
     chat(cutOff, 4);
-    return requestsAt(run.leaver()) > 0;
+    return requestsAt(run.leavingEngine()) > 0;
   });
-  way.setMode("cut");
-  waitUntil("the cut is felt",
+  platformProxy.setMode("cut");
+  waitUntil("the daemon to log that notices are unavailable",
             [&] { return cutOff.Process->hasLogged("notices unavailable"); });
-  run.Deploy.giveNotice(run.leaver().Address, 60);
-  waitUntil("the daemon has heard", [&] {
-    const std::int64_t before = requestsAt(run.leaver());
+  run.Deploy.addReclaimNotice(run.leavingEngine().Address, 60);
+  waitUntil("the daemon to stop calling the engine", [&] {
+    const std::int64_t before = requestsAt(run.leavingEngine());
     chat(cutOff, 20);
-    return requestsAt(run.leaver()) == before;
+    return requestsAt(run.leavingEngine()) == before;
   });
-  const std::int64_t before = requestsAt(run.leaver());
+  const std::int64_t before = requestsAt(run.leavingEngine());
   chat(cutOff, 40);
-  BOOST_TEST(requestsAt(run.leaver()) == before);
+  BOOST_TEST(requestsAt(run.leavingEngine()) == before);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Tests/Integration/TestOperatorTool.cpp
+++ b/Tests/Integration/TestOperatorTool.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// A command line, with PLATFORM and FOLDER filled in, and what it must give.
+/// A command line, in which PLATFORM and FOLDER are replaced, with its expected
+/// exit code and a part of its output.
 struct ToolRow {
   const char *Name;
   std::vector<std::string> Arguments;
@@ -16,20 +17,20 @@
   const char *Output;
 };
 
-/// In this order: each row builds on those before it.
+/// Rows run in this order; each depends on those before it.
 const ToolRow ToolRows[] = {
     {"version", {"--version"}, 0, "sorrelbay 0."},
     {"help", {"bundle", "--help"}, 0, "roll"},
     {"no command", {}, 2, "subcommand"},
     {"missing option", {"status"}, 2, "--platform is required"},
-    {"sound bundle", {"bundle", "check", "FOLDER/good1"}, 0, ""},
+    {"valid bundle", {"bundle", "check", "FOLDER/good1"}, 0, ""},
     {"bundle with faults",
      {"bundle", "check", "FOLDER/bad"},
      2,
      "bad:1: generation: must be from 1"},
     {"no such file", {"bundle", "check", "FOLDER/none"}, 2, "can't be read"},
     {"key", {"keys", "generate", "--out", "FOLDER/key"}, 0, ""},
-    {"key is there", {"keys", "generate", "--out", "FOLDER/key"}, 2, "exists"},
+    {"key exists", {"keys", "generate", "--out", "FOLDER/key"}, 2, "exists"},
     {"sign 2",
      {"bundle", "sign", "FOLDER/good2", "--key", "FOLDER/key", "--out",
       "FOLDER/signed2"},
@@ -40,7 +41,7 @@
       "FOLDER/signed1"},
      0,
      ""},
-    {"lax key",
+    {"key readable by others",
      {"bundle", "sign", "FOLDER/good1", "--key", "FOLDER/lax", "--out",
       "FOLDER/no"},
      2,
@@ -49,7 +50,7 @@
      {"status", "--platform", "PLATFORM"},
      0,
      "no bundle is current"},
-    {"roll what is not signed",
+    {"roll an unsigned bundle",
      {"bundle", "roll", "FOLDER/good1", "--platform", "PLATFORM"},
      2,
      "can't be decoded"},
@@ -65,7 +66,7 @@
      {"bundle", "roll", "FOLDER/signed1", "--platform", "PLATFORM"},
      3,
      "generation 2 signed by key"},
-    {"platform out of reach",
+    {"platform unreachable",
      {"bundle", "roll", "FOLDER/signed2", "--platform", "127.0.0.1:1"},
      4,
      ""},
@@ -73,7 +74,7 @@
      {"status", "--json", "--platform", "PLATFORM"},
      0,
      "{\"bundle\":{\"generation\":2,"},
-    {"watch without moves",
+    {"watch without rollouts",
      {"status", "--watch", "--platform", "PLATFORM"},
      0,
      "generation 2"},
@@ -86,10 +87,10 @@
   ToolFixture() {
     char pattern[] = "/tmp/sorrelbay-tool-XXXXXX";
     Folder = mkdtemp(pattern);
-    write("good1", standardBundle(1, OnlyVersionOne));
-    write("good2", standardBundle(2, OnlyVersionOne));
+    write("good1", standardBundle(1, SingleVersionToml));
+    write("good2", standardBundle(2, SingleVersionToml));
     write("bad", "generation = 0\n");
-    write("lax", "not even a key");
+    write("lax", "not a key");
     std::filesystem::permissions(Folder / "lax",
                                  std::filesystem::perms::others_read,
                                  std::filesystem::perm_options::add);
@@ -99,7 +100,7 @@
   void write(const char *name, const std::string &text) const {
     std::ofstream(Folder / name) << text;
   }
-  std::string filledIn(std::string text) const {
+  std::string withPathsReplaced(std::string text) const {
     const auto replace = [&text](const std::string &old,
                                  const std::string &with) {
       const std::size_t at = text.find(old);
@@ -122,7 +123,7 @@
     BOOST_TEST_CONTEXT(row.Name) {
       std::vector<std::string> arguments;
       for (const std::string &it : row.Arguments)
-        arguments.push_back(filledIn(it));
+        arguments.push_back(withPathsReplaced(it));
       const std::string log = Folder / ("log" + std::to_string(n++));
       ChildProcess tool("sorrelbay", arguments, log);
       BOOST_TEST(tool.wait() == row.ExitCode);
--- a/Tests/Integration/TestPlannedStop.cpp
+++ b/Tests/Integration/TestPlannedStop.cpp
@@ -10,31 +10,31 @@
 
 namespace {
 
-/// What all callers of a run saw together.
-struct Seen {
-  std::atomic<int> Whole{0};
-  std::atomic<int> Cut{0};
+/// Totals over all callers of a run.
+struct CallerTotals {
+  std::atomic<int> CompleteChats{0};
+  std::atomic<int> BrokenChats{0};
   std::atomic<int> Booked{0};
-  std::atomic<int> BookingsInDoubt{0};
+  std::atomic<int> UnknownBookings{0};
   std::atomic<bool> IsOver{false};
 };
 
-/// A caller's addresses: asked for at any daemon, kept for their time to live
-/// and used in turn.
-class AddressBook {
+/// A caller's cache of addresses: requested from any daemon, kept for their
+/// time to live, and tried in order.
+class AddressCache {
 public:
-  explicit AddressBook(std::vector<std::string> known)
+  explicit AddressCache(std::vector<std::string> known)
       : Known(std::move(known)) {}
 
-  /// The addresses to try, in order.
+  /// The addresses to try, in order. Refreshes them once expired.
   const std::vector<std::string> &usable() {
     if (std::chrono::steady_clock::now() >= ValidUntil)
-      ask();
+      refreshAddresses();
     return Usable;
   }
 
 private:
-  void ask() {
+  void refreshAddresses() {
     for (const std::string &it : Known) {
       try {
         const auto answer =
@@ -46,7 +46,7 @@
                      milliseconds(answer["ttl_ms"].get<int>());
         return;
       } catch (const Error &) {
-        // That daemon is down; another will know.
+        // That daemon is down; the next one is tried.
       }
     }
   }
@@ -56,11 +56,11 @@
   std::chrono::steady_clock::time_point ValidUntil;
 };
 
-/// Streams one chat through the addresses in turn until one takes it: refused
-/// connections and refusals that say "not run" send it on, a stream that breaks
-/// off is a promise broken.
+/// Streams one chat, trying the addresses in order. A refused connection or a
+/// response of status 503 leads to the next address; a stream that ends early
+/// counts as broken.
 void chatOnce(const std::vector<std::string> &addresses,
-              const std::string &question, Seen &seen) {
+              const std::string &question, CallerTotals &callerTotals) {
   constexpr std::uint64_t Tokens = 30;
   for (const std::string &it : addresses) {
     const ChatAnswer answer = streamChat(it, question, Tokens);
@@ -68,26 +68,26 @@
       continue;
     const bool isRight =
         answer.IsWhole && answer.Text == expectedText(question, Tokens);
-    ++(isRight ? seen.Whole : seen.Cut);
+    ++(isRight ? callerTotals.CompleteChats : callerTotals.BrokenChats);
     return;
   }
 }
 
-/// Books with one key through the addresses in turn. A connection that breaks
-/// leaves the caller in doubt.
+/// Books with one key, trying the addresses in order. A connection that breaks
+/// after the request was sent leaves the outcome unknown.
 void bookOnce(const std::vector<std::string> &addresses, const std::string &key,
-              Seen &seen) {
+              CallerTotals &callerTotals) {
   std::uint64_t attempt = 1;
   for (const std::string &it : addresses) {
     try {
       if (callDeskAt(it, "booking", key, attempt++).Status == 200) {
-        ++seen.Booked;
+        ++callerTotals.Booked;
         return;
       }
     } catch (const HttpNotSent &) {
       continue;
     } catch (const HttpOutcomeUnknown &) {
-      ++seen.BookingsInDoubt;
+      ++callerTotals.UnknownBookings;
       return;
     }
   }
@@ -97,10 +97,9 @@
 
 BOOST_AUTO_TEST_SUITE(PlannedStop)
 
-// Operators replace entry hosts one after the other while callers, who keep
-// addresses for a while, go on using the old ones. Without a drain a homeowner
-// would see a chat break off in the middle, and a crew lead would not know
-// whether the booking was made.
+// Operators replace entry hosts one after the other while callers still use
+// cached addresses. Without a drain, chats would break off and the outcome of
+// bookings would be unknown.
 BOOST_AUTO_TEST_CASE(rolling_stop_cuts_off_nothing) {
   Deployment deployment;
   deployment.addEngine("zone-a", "v1");
@@ -109,36 +108,37 @@
   std::vector<std::string> addresses;
   for (const char *zone : {"zone-a", "zone-b", "zone-c"})
     addresses.push_back(deployment.addDaemon(zone).Address);
-  deployment.roll(standardBundle(1, OnlyVersionOne));
+  deployment.roll(standardBundle(1, SingleVersionToml));
   deployment.waitReady();
 
-  Seen seen;
+  CallerTotals callerTotals;
   std::vector<std::thread> callers;
   for (std::size_t n = 0; n < 6; ++n)
     callers.emplace_back([&, n] {
-      AddressBook book(addresses);
-      for (int round = 0; !seen.IsOver; ++round) {
+      AddressCache addressCache(addresses);
+      for (int round = 0; !callerTotals.IsOver; ++round) {
         const std::string name =
             std::to_string(n) + "-" + std::to_string(round);
-        chatOnce(book.usable(), "chat " + name, seen);
-        bookOnce(book.usable(), "visit-" + name, seen);
+        chatOnce(addressCache.usable(), "chat " + name, callerTotals);
+        bookOnce(addressCache.usable(), "visit-" + name, callerTotals);
       }
     });
   for (const auto &it : deployment.Daemons) {
-    const int before = seen.Whole;
-    waitUntil("more chats", [&] { return seen.Whole > before + 6; });
+    const int before = callerTotals.CompleteChats;
+    waitUntil("more complete chats",
+              [&] { return callerTotals.CompleteChats > before + 6; });
     it->Process->terminate();
     BOOST_TEST(it->Process->wait() == 0);
     deployment.restart(*it);
     deployment.waitReady();
   }
-  seen.IsOver = true;
+  callerTotals.IsOver = true;
   for (std::thread &it : callers)
     it.join();
-  BOOST_TEST(seen.Cut == 0);
-  BOOST_TEST(seen.BookingsInDoubt == 0);
-  BOOST_TEST(seen.Whole > 0);
-  BOOST_TEST(seen.Booked > 0);
+  BOOST_TEST(callerTotals.BrokenChats == 0);
+  BOOST_TEST(callerTotals.UnknownBookings == 0);
+  BOOST_TEST(callerTotals.CompleteChats > 0);
+  BOOST_TEST(callerTotals.Booked > 0);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Tests/Integration/TestReclaim.cpp
+++ b/Tests/Integration/TestReclaim.cpp
@@ -10,37 +10,39 @@
 
 namespace {
 
-constexpr std::uint64_t LongAnswer = 300;
-/// Slow enough that reclaims fall into the middle of a long answer.
-const std::vector<std::string> Slow = {"--token-us", "10000"};
+constexpr std::uint64_t LongResponseTokens = 300;
+/// Slow enough for a reclaim to take effect in the middle of a long response.
+const std::vector<std::string> SlowEngineArguments = {"--token-us", "10000"};
 
 std::int64_t count(const TestUpstream &engine, const char *key) {
   return Deployment::number(Deployment::get(engine.Address, "/admin/counters"),
                             key);
 }
 
-/// Callers that stream long answers at the same time.
-class Chats {
+/// Callers that stream long responses at the same time.
+class LongChats {
 public:
-  Chats(const Deployment &deployment, std::size_t n) : Answers(n) {
+  LongChats(const Deployment &deployment, std::size_t n) : Answers(n) {
     for (std::size_t i = 0; i < n; ++i) {
       const std::string address =
           deployment.Daemons[i % deployment.Daemons.size()]->Address;
       Threads.emplace_back([this, address, i] {
-        Answers[i] = streamChat(address, question(i), LongAnswer);
+        Answers[i] = streamChat(address, question(i), LongResponseTokens);
       });
     }
   }
-  ~Chats() { join(); }
-  Chats(const Chats &) = delete;
-  Chats &operator=(const Chats &) = delete;
+  ~LongChats() { join(); }
+  LongChats(const LongChats &) = delete;
+  LongChats &operator=(const LongChats &) = delete;
 
-  /// Waits for all ends and compares each text with an undisturbed one.
-  void checkWhole() {
+  /// Waits for all streams to end and compares each text with an uninterrupted
+  /// one.
+  void checkAllComplete() {
     join();
     for (std::size_t i = 0; i < Answers.size(); ++i) {
       BOOST_TEST(Answers[i].IsWhole);
-      BOOST_TEST(Answers[i].Text == expectedText(question(i), LongAnswer));
+      BOOST_TEST(Answers[i].Text ==
+                 expectedText(question(i), LongResponseTokens));
     }
   }
 
@@ -64,7 +66,8 @@
               [it] { return count(*it, "tokens") > 20; });
 }
 
-/// Waits until no answer is on the engines, then ends them as the cloud does.
+/// Waits until the engines have no open streams, then kills them as the cloud
+/// does.
 void reclaimOnceEmpty(const std::vector<TestUpstream *> &engines) {
   for (TestUpstream *it : engines)
     waitUntil("no stream on " + it->Address,
@@ -85,11 +88,12 @@
   const char *Name;
   std::size_t Engines;
   double Seconds;
-  bool Moves;
+  bool ExpectsCacheImport;
 };
 
-/// Of four engines, two of them in zone-a. An answer takes 3 s, but the daemon
-/// reckons with 30 tokens a second, so only the longest notice lets it finish.
+/// The engines reclaimed, of four with two in zone-a. A response takes 3 s, but
+/// the daemon assumes 30 tokens per second, so only the longest notice lets the
+/// response finish in place.
 const ReclaimRow ReclaimRows[] = {
     {"one engine, 2 s", 1, 2, true},
     {"one engine, 30 s", 1, 30, false},
@@ -101,47 +105,48 @@
   return out << row.Name;
 }
 
-/// Two engines in zone-a, one in zone-b and zone-c each, and two daemons. At
-/// first only the engines to be reclaimed are listed, so that answers are
+/// Two engines in zone-a, one each in zone-b and zone-c, and two daemons. Only
+/// the engines to be reclaimed are listed at first, so that all responses start
 /// there.
-struct ThreeZones {
-  explicit ThreeZones(std::size_t leaving = 2)
-      : A1(Whole.addEngine("zone-a", "v1", Slow)),
-        A2(Whole.addEngine("zone-a", "v1", Slow)),
-        B(Whole.addEngine("zone-b", "v1", Slow)),
-        C(Whole.addEngine("zone-c", "v1", Slow)) {
+struct ThreeZoneCluster {
+  explicit ThreeZoneCluster(std::size_t leaving = 2)
+      : A1(Cluster.addEngine("zone-a", "v1", SlowEngineArguments)),
+        A2(Cluster.addEngine("zone-a", "v1", SlowEngineArguments)),
+        B(Cluster.addEngine("zone-b", "v1", SlowEngineArguments)),
+        C(Cluster.addEngine("zone-c", "v1", SlowEngineArguments)) {
     Leaving.assign({&A1, &A2});
     Leaving.resize(leaving);
-    for (std::size_t i = leaving; i < Whole.Upstreams.size(); ++i)
-      Whole.list(*Whole.Upstreams[i], "gone");
-    Whole.addDaemon("zone-b");
-    Whole.addDaemon("zone-c");
-    Whole.roll(standardBundle(1, OnlyVersionOne));
-    Whole.waitReady();
+    for (std::size_t i = leaving; i < Cluster.Upstreams.size(); ++i)
+      Cluster.list(*Cluster.Upstreams[i], "gone");
+    Cluster.addDaemon("zone-b");
+    Cluster.addDaemon("zone-c");
+    Cluster.roll(standardBundle(1, SingleVersionToml));
+    Cluster.waitReady();
   }
-  /// Waits for answers on those that will leave, then lists the others.
+  /// Waits until the engines to be reclaimed send tokens, then lists the
+  /// others.
   void listOthersOnceServing() {
     waitUntilServing(Leaving);
-    for (std::size_t i = Leaving.size(); i < Whole.Upstreams.size(); ++i)
-      Whole.list(*Whole.Upstreams[i], "live");
+    for (std::size_t i = Leaving.size(); i < Cluster.Upstreams.size(); ++i)
+      Cluster.list(*Cluster.Upstreams[i], "live");
   }
-  /// Waits until so many answers are being given. A chat that comes later, when
-  /// those that leave wait for room, is refused with a time to come back, and
-  /// was never accepted.
+  /// Waits until this many streams are open on the engines to be reclaimed. A
+  /// chat that arrived later, while streams wait for a call slot elsewhere,
+  /// would be rejected with a retry time instead of being accepted.
   void waitForStreams(std::int64_t wanted) {
-    waitUntil("all answers have begun", [&] {
+    waitUntil("the expected number of open streams", [&] {
       std::int64_t open = 0;
       for (const TestUpstream *it : Leaving)
         open += count(*it, "open");
       return open == wanted;
     });
   }
-  void giveNotices(double seconds) {
+  void addReclaimNotices(double seconds) {
     for (TestUpstream *it : Leaving)
-      Whole.giveNotice(it->Address, seconds);
+      Cluster.addReclaimNotice(it->Address, seconds);
   }
 
-  Deployment Whole;
+  Deployment Cluster;
   TestUpstream &A1;
   TestUpstream &A2;
   TestUpstream &B;
@@ -149,29 +154,29 @@
   std::vector<TestUpstream *> Leaving;
 };
 
-/// One engine behind a fault proxy, which is listed in its place.
-struct BehindProxy {
-  BehindProxy()
-      : Engine(Whole.addEngine("zone-a", "v1", Slow)),
-        Proxy(Whole.addProxy(Engine.Address)) {
-    Whole.list(Engine, "gone");
+/// One engine behind a fault proxy, whose address is listed instead.
+struct ProxiedEngine {
+  ProxiedEngine()
+      : Engine(Cluster.addEngine("zone-a", "v1", SlowEngineArguments)),
+        Proxy(Cluster.addProxy(Engine.Address)) {
+    Cluster.list(Engine, "gone");
     Listed.Address = Proxy.Address;
     Listed.Zone = Engine.Zone;
     Listed.Service = Engine.Service;
     Listed.Version = Engine.Version;
-    Whole.list(Listed, "live");
-    Whole.addDaemon("zone-a");
-    Whole.roll(standardBundle(1, OnlyVersionOne));
-    Whole.waitReady();
+    Cluster.list(Listed, "live");
+    Cluster.addDaemon("zone-a");
+    Cluster.roll(standardBundle(1, SingleVersionToml));
+    Cluster.waitReady();
   }
-  Deployment Whole;
+  Deployment Cluster;
   TestUpstream &Engine;
   TestProxy &Proxy;
   TestUpstream Listed;
 };
 
-/// The part of a stream that a caller saw before its connection broke.
-struct SeenPart {
+/// The part of a stream that a caller received before its connection broke.
+struct PartialStream {
   std::string RequestId;
   std::string Raw;
 };
@@ -199,21 +204,22 @@
   return call;
 }
 
-/// Reads a stream until so many events have come, then breaks the connection.
-SeenPart seeEvents(const std::string &address, const HttpCall &call,
-                   std::size_t events) {
-  SeenPart seen;
+/// Reads a stream until this many events have been received, then closes the
+/// connection.
+PartialStream readEventsUntil(const std::string &address, const HttpCall &call,
+                              std::size_t events) {
+  PartialStream partialStream;
   HttpStream stream(address, call);
   stream.run(
       [&](const HttpReply &reply) {
-        seen.RequestId = headerValue(reply.Headers, "X-Request-Id");
+        partialStream.RequestId = headerValue(reply.Headers, "X-Request-Id");
         return true;
       },
       [&](std::string_view data) {
-        seen.Raw += data;
-        return eventsIn(seen.Raw) < events;
+        partialStream.Raw += data;
+        return eventsIn(partialStream.Raw) < events;
       });
-  return seen;
+  return partialStream;
 }
 
 /// The ids of the events, in order.
@@ -225,11 +231,12 @@
   return ids;
 }
 
-HttpCall reconnectCall(const SeenPart &seen, const std::string &team) {
+HttpCall reconnectCall(const PartialStream &partialStream,
+                       const std::string &team) {
   HttpCall call;
-  call.Path = "/v1/chat/completions/" + seen.RequestId;
+  call.Path = "/v1/chat/completions/" + partialStream.RequestId;
   call.Headers = {{"X-Team", team}};
-  const auto ids = idsIn(seen.Raw);
+  const auto ids = idsIn(partialStream.Raw);
   if (!ids.empty())
     call.Headers.push_back({"Last-Event-ID", std::to_string(ids.back())});
   call.ReadTimeout = seconds(60);
@@ -240,87 +247,93 @@
 
 BOOST_AUTO_TEST_SUITE(Reclaim)
 
-// The cloud takes an engine's host, or all of a zone, with seconds of notice.
-// Without recovery the answers there break off at the end of the notice; here
-// all have left before it, and no caller sees more than its text.
-BOOST_DATA_TEST_CASE(announced_reclaims_leave_every_text_whole,
+// The cloud reclaims an engine's host, or all hosts of a zone, with a notice of
+// seconds. Without recovery the streams there end with the host; all must move
+// before the end of the notice, with their texts complete and without
+// duplicates.
+BOOST_DATA_TEST_CASE(reclaims_with_notice_leave_every_text_complete,
                      boost::unit_test::data::make(ReclaimRows), row) {
-  ThreeZones zones(row.Engines);
-  Chats chats(zones.Whole, 12);
+  ThreeZoneCluster zones(row.Engines);
+  LongChats chats(zones.Cluster, 12);
   zones.waitForStreams(12);
   zones.listOthersOnceServing();
-  zones.giveNotices(row.Seconds);
+  zones.addReclaimNotices(row.Seconds);
   reclaimOnceEmpty(zones.Leaving);
-  chats.checkWhole();
-  BOOST_TEST((sum(zones.Whole, "imported") > 0) == row.Moves);
+  chats.checkAllComplete();
+  BOOST_TEST((sum(zones.Cluster, "imported") > 0) == row.ExpectsCacheImport);
 }
 
-// While answers leave a zone, the engine that took most of them is taken too.
-BOOST_AUTO_TEST_CASE(a_second_wave_during_recovery_leaves_every_text_whole) {
-  ThreeZones zones;
-  Chats chats(zones.Whole, 12);
+// While streams move out of a zone, the engine that took most of them is
+// reclaimed too.
+BOOST_AUTO_TEST_CASE(
+    a_second_reclaim_during_recovery_leaves_every_text_complete) {
+  ThreeZoneCluster zones;
+  LongChats chats(zones.Cluster, 12);
   zones.waitForStreams(12);
   zones.listOthersOnceServing();
-  zones.giveNotices(3);
-  waitUntil("an answer that was moved to zone-b",
+  zones.addReclaimNotices(3);
+  waitUntil("a response moved to zone-b",
             [&] { return count(zones.B, "imported") > 0; });
-  zones.Whole.giveNotice(zones.B.Address, 2);
+  zones.Cluster.addReclaimNotice(zones.B.Address, 2);
   reclaimOnceEmpty({&zones.A1, &zones.A2, &zones.B});
-  chats.checkWhole();
+  chats.checkAllComplete();
 }
 
-// A host goes without a word. Its answers go on by prefix elsewhere.
-BOOST_AUTO_TEST_CASE(an_unannounced_end_leaves_every_text_whole) {
-  ThreeZones zones;
-  Chats chats(zones.Whole, 12);
+// Hosts end without a notice. Their streams resume on other engines from the
+// prefix of tokens already sent.
+BOOST_AUTO_TEST_CASE(an_end_without_notice_leaves_every_text_complete) {
+  ThreeZoneCluster zones;
+  LongChats chats(zones.Cluster, 12);
   zones.waitForStreams(12);
   zones.listOthersOnceServing();
   zones.A1.Process->kill();
   zones.A2.Process->kill();
-  chats.checkWhole();
-  BOOST_TEST(sum(zones.Whole, "resumed") > 0);
+  chats.checkAllComplete();
+  BOOST_TEST(sum(zones.Cluster, "resumed") > 0);
 }
 
-// Something between the daemon and the engine forgets a connection: it stays
-// open and silent for good, while new ones work. The caller would wait until
-// its deadline.
+// A middlebox drops the state of a connection between the daemon and the
+// engine: it stays open and silent, while new ones work. Without detection the
+// caller would wait until its deadline.
 BOOST_AUTO_TEST_CASE(a_silent_connection_is_replaced) {
-  BehindProxy behind;
-  Chats chats(behind.Whole, 2);
-  waitUntilServing({&behind.Engine});
-  behind.Proxy.setMode("freeze");
-  chats.checkWhole();
-  BOOST_TEST(count(behind.Engine, "requests") == 4);
+  ProxiedEngine proxied;
+  LongChats chats(proxied.Cluster, 2);
+  waitUntilServing({&proxied.Engine});
+  proxied.Proxy.setMode("freeze");
+  chats.checkAllComplete();
+  BOOST_TEST(count(proxied.Engine, "requests") == 4);
 }
 
-// An engine sends tokens twice, sends those of somebody else's answer, and ends
-// streams before they are whole. Passed on, a caller would read garbled text or
-// take half a quote for the whole.
-BOOST_AUTO_TEST_CASE(crossed_duplicated_and_truncated_answers_are_mended) {
-  BehindProxy behind;
+// An engine sends tokens twice, sends tokens of another response, and ends
+// streams early. Forwarded unchecked, the caller would receive garbled or
+// truncated text.
+BOOST_AUTO_TEST_CASE(crossed_duplicated_and_truncated_responses_are_repaired) {
+  ProxiedEngine proxied;
   Deployment::post(
-      behind.Engine.Address, "/admin/faults",
+      proxied.Engine.Address, "/admin/faults",
       R"({"duplicate_every": 3, "cross_every": 4, "truncate_after": 70})");
-  Chats chats(behind.Whole, 2);
-  chats.checkWhole();
+  LongChats chats(proxied.Cluster, 2);
+  chats.checkAllComplete();
   const std::string metrics =
-      Deployment::get(behind.Whole.Daemons[0]->Address, "/metrics");
+      Deployment::get(proxied.Cluster.Daemons[0]->Address, "/metrics");
   for (const char *it : {"cause=\"crossed\"", "cause=\"duplicated\""})
     BOOST_TEST((metrics.find(it) != std::string::npos), it);
 }
 
-// The caller's own connection breaks in mid-answer. It comes back with the id
-// of the last event that it saw, and would not like to pay for the quote twice.
-BOOST_DATA_TEST_CASE(a_caller_that_comes_back_misses_and_repeats_nothing,
-                     boost::unit_test::data::make({1, 20, 60}), seenEvents) {
+// The caller's connection breaks during a response. It reconnects with the id
+// of the last event received and must get the rest without gaps, duplicates or
+// a second generation.
+BOOST_DATA_TEST_CASE(a_caller_that_reconnects_misses_and_repeats_nothing,
+                     boost::unit_test::data::make({1, 20, 60}),
+                     receivedEvents) {
   constexpr std::uint64_t Tokens = 60;
   Deployment deployment;
-  deployment.addEngine("zone-a", "v1", Slow);
+  deployment.addEngine("zone-a", "v1", SlowEngineArguments);
   const std::string address = deployment.addDaemon("zone-a").Address;
-  deployment.roll(standardBundle(1, OnlyVersionOne));
+  deployment.roll(standardBundle(1, SingleVersionToml));
   deployment.waitReady();
-  const SeenPart first =
-      seeEvents(address, chatCall("Oak?", Tokens), seenEvents);
+  const PartialStream first =
+      readEventsUntil(address, chatCall("Oak?", Tokens), receivedEvents);
   const HttpReply rest = sendOnce(address, reconnectCall(first, "crew"));
   BOOST_TEST(rest.Status == 200);
   const auto ids = idsIn(first.Raw + rest.Body);
@@ -332,23 +345,25 @@
   BOOST_TEST(sendOnce(address, reconnectCall(first, "others")).Status == 404);
 }
 
-// The cloud takes an entry host back in the middle of its answers. Its callers
-// would lose them; they are told where to go on, and miss and repeat nothing.
-BOOST_AUTO_TEST_CASE(answers_of_a_leaving_entry_host_go_on_at_a_peer) {
+// The cloud reclaims an entry host during its streams. Its callers must receive
+// the address of a peer and continue there without gaps or duplicates.
+BOOST_AUTO_TEST_CASE(responses_of_a_leaving_entry_host_continue_at_a_peer) {
   Deployment deployment;
-  TestUpstream &engine = deployment.addEngine("zone-a", "v1", Slow);
+  TestUpstream &engine =
+      deployment.addEngine("zone-a", "v1", SlowEngineArguments);
   TestDaemon &leaving = deployment.addDaemon("zone-a");
   deployment.addDaemon("zone-a");
   TestDaemon &otherZone = deployment.addDaemon("zone-b");
-  deployment.roll(standardBundle(1, OnlyVersionOne));
+  deployment.roll(standardBundle(1, SingleVersionToml));
   deployment.waitReady();
-  SeenPart first;
+  PartialStream first;
   std::thread caller([&] {
-    first = seeEvents(leaving.Address, chatCall("Oak?", LongAnswer),
-                      LongAnswer + 2);
+    first =
+        readEventsUntil(leaving.Address, chatCall("Oak?", LongResponseTokens),
+                        LongResponseTokens + 2);
   });
   waitUntilServing({&engine});
-  deployment.giveNotice(leaving.Address, 2);
+  deployment.addReclaimNotice(leaving.Address, 2);
   caller.join();
   leaving.Process->kill();
   BOOST_TEST(first.Raw.find("event: moved") != std::string::npos);
@@ -356,11 +371,11 @@
   const HttpReply rest =
       sendOnce(otherZone.Address, reconnectCall(first, "crew"));
   const auto ids = idsIn(first.Raw + rest.Body);
-  BOOST_REQUIRE(ids.size() == LongAnswer + 1);
+  BOOST_REQUIRE(ids.size() == LongResponseTokens + 1);
   for (std::size_t i = 0; i < ids.size(); ++i)
     BOOST_TEST(ids[i] == i);
   BOOST_TEST(textOfEvents(first.Raw + rest.Body) ==
-             expectedText("Oak?", LongAnswer));
+             expectedText("Oak?", LongResponseTokens));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Tests/Integration/TestWholePath.cpp
+++ b/Tests/Integration/TestWholePath.cpp
@@ -11,7 +11,7 @@
   deployment.addDesk("zone-a");
   deployment.addDaemon("zone-a");
   deployment.addDaemon("zone-b");
-  deployment.roll(standardBundle(1, OnlyVersionOne));
+  deployment.roll(standardBundle(1, SingleVersionToml));
   deployment.waitReady();
   for (const auto &it : deployment.Daemons) {
     const ChatAnswer chat = streamChat(it->Address, "Which oak?", 12);
