--- a/Services/sorrelbayd/AnswerHandover.cpp
+++ b/Services/sorrelbayd/AnswerHandover.cpp
@@ -11,18 +11,19 @@
                                BundleStore &bundles, LiveAnswers &answers,
                                ModelCalls &models, OpenCalls &open)
     : Settings(settings), Bundles(bundles), Answers(answers), Models(models),
-      Open(open), Makers(settings.MaxOpenCalls) {}
+      Open(open), AnswerWorkers(settings.MaxOpenCalls) {}
 
 void AnswerHandover::handOverAll(const Peers &peers, const Forward &forward) {
   const std::vector<HandoverPeer> known = peers();
   for (const auto &it : Answers.all())
-    if (it->What.Call.WantsStream)
-      give(*it, orderPeers(it->What.Id, Settings.Zone, known), forward);
+    if (it->CallRequest.Call.WantsStream)
+      handOver(*it, orderPeers(it->CallRequest.Id, Settings.Zone, known),
+               forward);
 }
 
-void AnswerHandover::give(LiveAnswer &answer,
-                          const std::vector<HandoverPeer> &peers,
-                          const Forward &forward) const {
+void AnswerHandover::handOver(LiveAnswer &answer,
+                              const std::vector<HandoverPeer> &peers,
+                              const Forward &forward) const {
   const auto state = answer.freeze();
   if (!state)
     return;
@@ -32,51 +33,54 @@
     try {
       forward(it.Host, body);
     } catch (const Error &error) {
-      // If only the reply was lost, that peer makes the answer for nobody and
-      // soon gives it up; the caller is sent to the one that replied.
+      // If only the response was lost, that peer continues the answer without a
+      // reader and soon abandons it; the caller is sent to the peer that
+      // responded.
       LogLine(Severity::Warning, "answer not handed over")
-          .field("request", answer.What.Id.text())
+          .field("request", answer.CallRequest.Id.text())
           .field("peer", it.Host.text())
           .field("error", error.what());
       continue;
     }
     LogLine(Severity::Info, "answer handed over")
-        .field("request", answer.What.Id.text())
+        .field("request", answer.CallRequest.Id.text())
         .field("peer", it.Host.text())
-        .field("trace_id", answer.What.Context.Trace.TraceId);
-    answer.setMoved(movedNotice(answer.What.Id, {it}));
+        .field("trace_id", answer.CallRequest.Context.Trace.TraceId);
+    answer.setMoved(movedNotice(answer.CallRequest.Id, {it}));
     return;
   }
   answer.unfreeze();
 }
 
-void AnswerHandover::take(const std::string &body) {
+void AnswerHandover::acceptHandover(const std::string &body) {
   const Handover state = parseHandover({body.begin(), body.end()});
   const auto bundle = Bundles.current();
   const Route *route = bundle ? findRoute(*bundle, state.OnRoute) : nullptr;
   if (route == nullptr)
     throw HandoverRefused("no bundle in force here has this route");
-  AnswerRequest what;
-  what.Id = state.Request;
-  what.Context.FromTeam = state.Team;
-  what.Context.OnRoute = state.OnRoute;
-  what.Context.Deadline = state.Deadline;
-  what.Context.Trace = parseTraceParent(state.TraceParent);
+  AnswerRequest callRequest;
+  callRequest.Id = state.Request;
+  callRequest.Context.FromTeam = state.Team;
+  callRequest.Context.OnRoute = state.OnRoute;
+  callRequest.Context.Deadline = state.Deadline;
+  callRequest.Context.Trace = parseTraceParent(state.TraceParent);
   try {
-    what.Call = parseModelCall(state.Body);
+    callRequest.Call = parseModelCall(state.Body);
   } catch (const Problem &problem) {
     throw HandoverRefused(problem.what());
   }
-  what.OnRoute = *route;
-  what.Version = state.Version;
-  what.Arrival = now();
+  callRequest.OnRoute = *route;
+  callRequest.Version = state.Version;
+  callRequest.Arrival = now();
   const auto answer = std::make_shared<LiveAnswer>(
-      what, AnswerStream(state.Request, state.Tokens, state.LastAttempt));
+      callRequest,
+      AnswerStream(state.Request, state.Tokens, state.LastAttempt));
   Answers.add(answer);
-  Open.beginAgain();
-  Makers.enqueue([this, answer, at = state.At] { Models.adopt(*answer, at); });
+  Open.beginReconnect();
+  AnswerWorkers.enqueue(
+      [this, answer, at = state.At] { Models.adopt(*answer, at); });
 }
 
-void AnswerHandover::stop() { Makers.shutdown(); }
+void AnswerHandover::stop() { AnswerWorkers.shutdown(); }
 
 } // namespace sorrelbay
--- a/Services/sorrelbayd/AnswerHandover.h
+++ b/Services/sorrelbayd/AnswerHandover.h
@@ -16,38 +16,39 @@
 /// The kind of the peer request that carries a handover.
 extern const char *const HandoverKind;
 
-/// Gives the open answers to peers when this entry host leaves before they end,
-/// and makes on those that peers give to this one. Without it a reclaim of an
-/// entry host would cut its answers off, and each caller would pay for its
-/// prompt again. Thread-safe.
+/// Hands the open answers over to peers when this entry host stops before they
+/// end, and continues those that peers hand over to this host. Without it, the
+/// reclaim of an entry host would abort its answers, and each caller would pay
+/// for its prompt again. Thread-safe.
 class AnswerHandover {
 public:
-  /// Sends a request to a peer; throws an Error if the peer hasn't taken it.
+  /// Sends a request to a peer. Throws an Error if the peer has not accepted
+  /// it.
   using Forward = std::function<void(const HostId &, const std::string &body)>;
   using Peers = std::function<std::vector<HandoverPeer>()>;
 
   AnswerHandover(const DaemonSettings &settings, BundleStore &bundles,
                  LiveAnswers &answers, ModelCalls &models, OpenCalls &open);
 
-  /// Gives every streamed answer that is open to a peer and tells its caller
-  /// where it goes on. What no peer takes is made on here.
+  /// Hands every open streamed answer over to a peer and sends its caller the
+  /// peer's address. An answer that no peer accepts continues on this host.
   void handOverAll(const Peers &peers, const Forward &forward);
-  /// Takes a peer's answer over; it is made on a thread of its own. Throws
+  /// Takes over a peer's answer and continues it on a worker thread. Throws
   /// HandoverRefused.
-  void take(const std::string &body);
-  /// Waits for the answers that were taken over.
+  void acceptHandover(const std::string &body);
+  /// Waits until the answers that were taken over have ended.
   void stop();
 
 private:
-  void give(LiveAnswer &answer, const std::vector<HandoverPeer> &peers,
-            const Forward &forward) const;
+  void handOver(LiveAnswer &answer, const std::vector<HandoverPeer> &peers,
+                const Forward &forward) const;
 
   const DaemonSettings &Settings;
   BundleStore &Bundles;
   LiveAnswers &Answers;
   ModelCalls &Models;
   OpenCalls &Open;
-  GrowingWorkerPool Makers;
+  GrowingWorkerPool AnswerWorkers;
 };
 
 } // namespace sorrelbay
--- a/Services/sorrelbayd/AtMostOnceCalls.cpp
+++ b/Services/sorrelbayd/AtMostOnceCalls.cpp
@@ -7,8 +7,8 @@
 namespace sorrelbay {
 
 static constexpr std::size_t IncarnationDigits = 24;
-// Some ten thousand calls in the life of a ticket, which is more than an entry
-// host takes in an outage of that length.
+// Enough for about ten thousand calls within a ticket's validity, which is more
+// than an entry host handles in an outage of that length.
 static constexpr std::size_t MaxTicketBytes = 4UL * 1024 * 1024;
 
 static LedgerLimits ticketLimits() {
@@ -24,12 +24,12 @@
 
 AtMostOnceCalls::~AtMostOnceCalls() { Workers.shutdown(); }
 
-DeskCallAnswer AtMostOnceCalls::handle(EntryMode entrance, const CallId &call,
+DeskCallAnswer AtMostOnceCalls::handle(EntryMode entryMode, const CallId &call,
                                        CallAttempt attempt, Instant deadline,
                                        DeskCallHooks hooks) {
   DeskCall deskCall;
   deskCall.Purpose =
-      entrance == EntryMode::Query ? CallPurpose::Query : CallPurpose::Run;
+      entryMode == EntryMode::Query ? CallPurpose::Query : CallPurpose::Run;
   deskCall.Id = call;
   deskCall.Attempt = attempt;
   deskCall.Self = Self;
@@ -37,15 +37,16 @@
   hooks.Apply = [this](const SubmitEdit &submit) { return apply(submit); };
   auto live = std::make_shared<LiveDeskCall>(
       DeskCallProtocol(deskCall, DeskCallSettings{}), std::move(hooks));
-  const auto enter = [this, entrance, call](DeskCallProtocol &it) {
+  const auto enter = [this, entryMode, call](DeskCallProtocol &it) {
     if (isOwnExpiredTicket(call))
       return it.refuseExpiredTicket();
-    return entrance == EntryMode::Shed ? it.shed() : it.start(now());
+    return entryMode == EntryMode::Shed ? it.shed() : it.start(now());
   };
-  // A refusal that needs no other host is given here, whatever the workers do.
+  // A refusal that needs no other host is returned here, even if all workers
+  // are busy.
   const DeskCallActions actions = live->begin(enter);
   if (!actions.empty())
-    Workers.enqueue([live, actions] { live->work(actions); });
+    Workers.enqueue([live, actions] { live->performActions(actions); });
   return live->await(deadline);
 }
 
--- a/Services/sorrelbayd/AtMostOnceCalls.h
+++ b/Services/sorrelbayd/AtMostOnceCalls.h
@@ -8,23 +8,26 @@
 
 namespace sorrelbay {
 
-/// Runs non-repeatable calls at most once for this daemon: the ledger, the
-/// table of its own tickets, and the workers that carry calls to their end.
+/// Runs this daemon's non-repeatable calls at most once, by means of the ledger
+/// and the table of the daemon's own tickets. Workers complete each call.
 ///
-/// The tickets' lock is a leaf. The ledger's locks are never held with it.
+/// The lock of the tickets is a leaf and is never held together with the
+/// ledger's locks.
 class AtMostOnceCalls {
 public:
   AtMostOnceCalls(ObjectApi objects, std::size_t workers);
   ~AtMostOnceCalls();
 
-  /// How an attempt enters.
+  /// How an attempt is handled: run, refused for lack of capacity, or only
+  /// looked up.
   enum class EntryMode { Run, Shed, Query };
-  /// What differs from call to call; Apply is filled in here.
-  DeskCallAnswer handle(EntryMode entrance, const CallId &call,
+  /// Handles an attempt and returns its answer, at the deadline at the latest.
+  /// Sets the hook Apply; the caller sets the other hooks.
+  DeskCallAnswer handle(EntryMode entryMode, const CallId &call,
                         CallAttempt attempt, Instant deadline,
                         DeskCallHooks hooks);
 
-  /// A ticket for a caller; the address is the one at which this daemon
+  /// Issues a ticket for a caller. The address is the one on which this daemon
   /// listens.
   CallTicket issueTicket(const std::string &address);
   const IncarnationId &incarnation() const { return Self; }
--- a/Services/sorrelbayd/BundleStore.cpp
+++ b/Services/sorrelbayd/BundleStore.cpp
@@ -13,7 +13,8 @@
 BundleStore::BundleStore(const std::vector<std::string> &operatorKeys)
     : InForce(parseKeys(operatorKeys)) {}
 
-template <typename Offered> bool BundleStore::take(const Offered &offered) {
+template <typename Offered>
+bool BundleStore::adoptOffer(const Offered &offered) {
   const std::lock_guard<std::mutex> offerLock(OfferMutex);
   if (InForce.offer(offered) != BundleOffer::Adopted)
     return false;
@@ -23,10 +24,10 @@
 }
 
 bool BundleStore::offer(const std::string &signedBytes) {
-  return take(signedBytes);
+  return adoptOffer(signedBytes);
 }
 
-bool BundleStore::offer(const BundleMark &mark) { return take(mark); }
+bool BundleStore::offer(const BundleMark &mark) { return adoptOffer(mark); }
 
 std::shared_ptr<const Bundle> BundleStore::current() const {
   const std::lock_guard<std::mutex> lock(Mutex);
--- a/Services/sorrelbayd/CallAdmission.cpp
+++ b/Services/sorrelbayd/CallAdmission.cpp
@@ -14,16 +14,16 @@
                                    Duration retryAfter)
     : Error(describe(reason)), RetryAfterDelay(retryAfter) {}
 
-CallAdmission::Place::Place(CallAdmission &owner, ServiceId service,
-                            std::uint64_t callId)
+CallAdmission::CallSlot::CallSlot(CallAdmission &owner, ServiceId service,
+                                  std::uint64_t callId)
     : Owner(owner), Service(std::move(service)), CallId(callId) {}
 
-CallAdmission::Place::~Place() {
+CallAdmission::CallSlot::~CallSlot() {
   const std::lock_guard<std::mutex> lock(Owner.Mutex);
-  Owner.take(Owner.Services.at(Service).finish(CallId, now()));
+  Owner.recordDecisions(Owner.Services.at(Service).finish(CallId, now()));
 }
 
-void CallAdmission::Place::begin() {
+void CallAdmission::CallSlot::begin() {
   if (HasBegun.exchange(true))
     return;
   const std::lock_guard<std::mutex> lock(Owner.Mutex);
@@ -37,28 +37,28 @@
     it.second.setTeams(teams);
 }
 
-Admission &CallAdmission::serviceOf(const ServiceId &service, int places) {
+Admission &CallAdmission::serviceOf(const ServiceId &service, int callSlots) {
   const auto added = Services.try_emplace(service);
   Admission &admission = added.first->second;
   if (added.second) {
     admission.setTeams(Teams);
-    take(admission.setCallSlots(places, now()));
+    recordDecisions(admission.setCallSlots(callSlots, now()));
   }
   return admission;
 }
 
-std::shared_ptr<CallAdmission::Place>
-CallAdmission::enter(const ServiceId &service, QueuedCall call) {
-  const int places = CountPlaces(service);
+std::shared_ptr<CallAdmission::CallSlot>
+CallAdmission::acquireSlot(const ServiceId &service, QueuedCall call) {
+  const int callSlots = CountCallSlots(service);
   std::unique_lock<std::mutex> lock(Mutex);
   call.Id = ++LastId;
-  take(serviceOf(service, places).arrive(call, now()));
+  recordDecisions(serviceOf(service, callSlots).arrive(call, now()));
   Decided.wait(lock, [&] { return Decisions.count(call.Id) != 0; });
   const AdmissionAction action = Decisions.at(call.Id);
   Decisions.erase(call.Id);
   if (action.Kind == AdmissionKind::Refuse)
     throw AdmissionRefused(action.Reason, action.RetryAfter);
-  return std::make_shared<Place>(*this, service, call.Id);
+  return std::make_shared<CallSlot>(*this, service, call.Id);
 }
 
 void CallAdmission::tick() {
@@ -69,11 +69,11 @@
       services.push_back(it.first);
   }
   for (const ServiceId &it : services) {
-    const int places = CountPlaces(it);
+    const int callSlots = CountCallSlots(it);
     const std::lock_guard<std::mutex> lock(Mutex);
     Admission &admission = Services.at(it);
-    take(admission.setCallSlots(places, now()));
-    take(admission.tick(now()));
+    recordDecisions(admission.setCallSlots(callSlots, now()));
+    recordDecisions(admission.tick(now()));
   }
 }
 
@@ -85,7 +85,8 @@
   return n;
 }
 
-void CallAdmission::take(const std::vector<AdmissionAction> &actions) {
+void CallAdmission::recordDecisions(
+    const std::vector<AdmissionAction> &actions) {
   for (const AdmissionAction &it : actions)
     Decisions[it.CallId] = it;
   if (!actions.empty())
--- a/Services/sorrelbayd/CallAdmission.h
+++ b/Services/sorrelbayd/CallAdmission.h
@@ -13,7 +13,7 @@
 
 namespace sorrelbay {
 
-/// A call was not let in; its caller is answered at once when to come back.
+/// A call was rejected. The caller gets the delay before a retry at once.
 class AdmissionRefused : public Error {
 public:
   AdmissionRefused(AdmissionRefusalCause reason, Duration retryAfter);
@@ -23,23 +23,25 @@
   Duration RetryAfterDelay;
 };
 
-/// Lets calls in by what the upstreams can take: the threads' side of
-/// Admission. A thread whose call waits sleeps here. Thread-safe; its lock is a
-/// leaf: nothing else is called while it is held.
+/// Admits calls according to the capacity of the upstreams. Wraps Admission for
+/// use by several threads: the thread of a waiting call blocks in
+/// acquireSlot(). Thread-safe; the lock is a leaf: nothing else is called while
+/// it is held.
 class CallAdmission {
 public:
-  /// How many calls this daemon may have open at a service's upstreams.
-  using PlacesOf = std::function<int(const ServiceId &)>;
+  /// The number of calls that this daemon may have open at a service's
+  /// upstreams.
+  using CallSlotsOf = std::function<int(const ServiceId &)>;
 
-  /// A call's place, given back when this ends.
-  class Place {
+  /// The call slot of an admitted call; the destructor releases it.
+  class CallSlot {
   public:
-    Place(CallAdmission &owner, ServiceId service, std::uint64_t callId);
-    ~Place();
-    Place(const Place &) = delete;
-    Place &operator=(const Place &) = delete;
+    CallSlot(CallAdmission &owner, ServiceId service, std::uint64_t callId);
+    ~CallSlot();
+    CallSlot(const CallSlot &) = delete;
+    CallSlot &operator=(const CallSlot &) = delete;
 
-    /// The call has its first token.
+    /// Records that the call has received its first token.
     void begin();
 
   private:
@@ -49,29 +51,30 @@
     std::atomic<bool> HasBegun{false};
   };
 
-  explicit CallAdmission(PlacesOf placesOf)
-      : CountPlaces(std::move(placesOf)) {}
+  explicit CallAdmission(CallSlotsOf callSlotsOf)
+      : CountCallSlots(std::move(callSlotsOf)) {}
 
   void setTeams(const std::vector<Team> &teams);
-  /// Waits until the call may start. Its id is given here. Throws
+  /// Assigns the call an id and waits until it may start. Throws
   /// AdmissionRefused.
-  std::shared_ptr<Place> enter(const ServiceId &service, QueuedCall call);
-  /// Takes over the places that there are now and refuses what has become
-  /// hopeless. To be called often.
+  std::shared_ptr<CallSlot> acquireSlot(const ServiceId &service,
+                                        QueuedCall call);
+  /// Updates the number of call slots and refuses waiting calls that can no
+  /// longer start before their deadlines. To be called several times a second.
   void tick();
-  /// Calls that wait for their turn.
+  /// The number of calls that wait for a call slot.
   std::size_t waiting() const;
 
 private:
-  void take(const std::vector<AdmissionAction> &actions);
-  Admission &serviceOf(const ServiceId &service, int places);
+  void recordDecisions(const std::vector<AdmissionAction> &actions);
+  Admission &serviceOf(const ServiceId &service, int callSlots);
 
-  const PlacesOf CountPlaces;
+  const CallSlotsOf CountCallSlots;
   mutable std::mutex Mutex;
   std::condition_variable Decided;
   std::map<ServiceId, Admission> Services;
   std::vector<Team> Teams;
-  /// What was decided for calls whose threads have not woken yet.
+  /// The decisions for calls whose threads have not read them yet.
   std::map<std::uint64_t, AdmissionAction> Decisions;
   std::uint64_t LastId = 0;
 };
--- a/Services/sorrelbayd/CallChecks.cpp
+++ b/Services/sorrelbayd/CallChecks.cpp
@@ -2,14 +2,14 @@
 
 namespace sorrelbay {
 
-static constexpr Duration ComeBackSoon = milliseconds(500);
+static constexpr Duration ShortRetryAfter = milliseconds(500);
 
 std::shared_ptr<const Bundle> requireBundle(const BundleStore &bundles,
                                             Outcome refusal) {
   auto bundle = bundles.current();
   if (!bundle)
     throw Problem(503, "not-ready", "no bundle is in force yet", refusal,
-                  ComeBackSoon);
+                  ShortRetryAfter);
   return bundle;
 }
 
--- a/Services/sorrelbayd/CallChecks.h
+++ b/Services/sorrelbayd/CallChecks.h
@@ -6,12 +6,12 @@
 
 namespace sorrelbay {
 
-/// The bundle by which a call is served. Throws Problem with that outcome while
-/// none is in force.
+/// Returns the bundle in force. Throws Problem with the given outcome while
+/// there is none.
 std::shared_ptr<const Bundle> requireBundle(const BundleStore &bundles,
                                             Outcome refusal);
 
-/// Throws Problem with that outcome unless the bundle names the team.
+/// Throws Problem with the given outcome if the bundle does not list the team.
 void requireTeam(const Bundle &bundle, const TeamId &team, Outcome refusal);
 
 } // namespace sorrelbay
--- a/Services/sorrelbayd/CallerApi.cpp
+++ b/Services/sorrelbayd/CallerApi.cpp
@@ -12,7 +12,7 @@
 
 using Json = nlohmann::ordered_json;
 
-/// The most tickets that one lookup gives.
+/// The maximum number of tickets in the response to one lookup.
 static constexpr int MaxTickets = 100;
 
 CallerApi::CallerApi(const DaemonSettings &settings, BundleStore &bundles,
@@ -21,7 +21,7 @@
     : Settings(settings), Bundles(bundles), Upstreams(upstreams),
       Models(models), Desks(desks), Open(open), Counts(metrics) {}
 
-static constexpr Duration ComeBackSoon = milliseconds(500);
+static constexpr Duration ShortRetryAfter = milliseconds(500);
 
 static HttpResponse refuse(const HttpRequest &request, const Problem &problem) {
   const TraceContext trace =
@@ -40,13 +40,13 @@
   std::vector<std::string> others;
   for (const EntryAddress &it : otherEntries())
     others.push_back(it.Address);
-  // Another daemon can be asked at once; this one only later.
-  const Duration wait = others.empty() ? ComeBackSoon : Duration{};
+  // The caller can retry at another daemon at once, at this one only later.
+  const Duration wait = others.empty() ? ShortRetryAfter : Duration{};
   return Problem(503, type, detail, refusalOutcome(request), wait)
       .withElsewhere(others);
 }
 
-/// One line a call, with what an operator needs to find it again.
+/// Logs one line for each call, with the fields by which operators search.
 static void logCall(const HttpRequest &request, const TraceContext &trace,
                     Instant arrival, int status, const char *end) {
   LogLine(Severity::Info, "call ended")
@@ -59,15 +59,16 @@
       .field("duration_ms", toMilliseconds(now() - arrival));
 }
 
-/// Logs the call once it has ended: now, or with the end of its stream.
-static HttpResponse logged(const HttpRequest &request,
-                           const TraceContext &trace, Instant arrival,
-                           HttpResponse response) {
+/// Logs the call when it has ended, which is at once or at the end of its
+/// stream.
+static HttpResponse withCallLog(const HttpRequest &request,
+                                const TraceContext &trace, Instant arrival,
+                                HttpResponse response) {
   if (!response.Stream) {
     logCall(request, trace, arrival, response.Status, "whole");
     return response;
   }
-  // Without the body, which would stay in memory as long as the stream.
+  // Drops the body, which would otherwise stay in memory as long as the stream.
   HttpRequest head = request;
   head.Body.clear();
   response.Stream = [head, trace, arrival, status = response.Status,
@@ -80,13 +81,15 @@
   return response;
 }
 
-/// Serves what is under way here already, so also while the daemon is stopping.
+/// Wraps the handler of requests about calls that are already in flight here.
+/// These are served also while the daemon is stopping.
 static HttpServer::Handler answerHandler(HttpServer::Handler handler) {
   return [handler = std::move(handler)](const HttpRequest &arrived) {
     const Instant arrival = now();
     const TraceContext trace =
         parseTraceParent(headerValue(arrived.Headers, "traceparent"));
-    // A trace begun here is passed on, so that every hop logs the same id.
+    // Adds a trace that begins here to the request, so that every hop logs the
+    // same trace id.
     HttpRequest request = arrived;
     if (!hasHeader(arrived.Headers, "traceparent"))
       request.Headers.push_back({"traceparent", renderTraceParent(trace)});
@@ -97,7 +100,7 @@
         return refuse(request, problem);
       }
     };
-    return logged(request, trace, arrival, answer());
+    return withCallLog(request, trace, arrival, answer());
   };
 }
 
@@ -123,7 +126,8 @@
     return renderProblem(Problem(413, "too-large", "the body is too large",
                                  refusalOutcome(request)));
   case 400:
-    // The headers may not have been read, so that it may repeat any key.
+    // The headers may not have been parsed, so the request may be a retry of
+    // any key.
     return renderProblem(
         Problem(400, "bad-request", "not a valid request", Outcome::Unknown));
   default:
@@ -167,8 +171,8 @@
 }
 
 std::vector<EntryAddress> CallerApi::otherEntries() const {
-  // The host list lags and knows nothing of a planned stop; what a daemon says
-  // of itself to its peers goes before it.
+  // The host list lags and does not contain planned stops, so the state that a
+  // daemon reports to its peers takes precedence.
   std::map<std::string, ZoneId> usable;
   for (const HostListEntry &it : Upstreams.entryHosts())
     if (!it.IsLeaving)
@@ -187,7 +191,7 @@
   return out;
 }
 
-static int wantedTickets(const HttpRequest &request) {
+static int requestedTickets(const HttpRequest &request) {
   const std::string wanted = headerValue(request.Query, "tickets");
   return std::clamp(std::atoi(wanted.c_str()), 0, MaxTickets);
 }
@@ -209,16 +213,18 @@
   };
   for (const EntryAddress &it : otherEntries())
     add(it.Address, it.Zone);
-  // A daemon that is stopping sends callers elsewhere, if there is elsewhere.
+  // A daemon that is stopping lists itself only if there is no other entry
+  // host.
   if (!Open.isStopping() || list.empty())
     add(OwnAddress, Settings.Zone);
-  // Each lookup begins at another entry, which spreads callers evenly.
+  // A random rotation of the list spreads callers evenly over entry hosts.
   std::rotate(list.begin(),
               list.begin() + static_cast<std::ptrdiff_t>(
                                  stableHash(randomHex(16)) % list.size()),
               list.end());
-  // A stopping daemon hands out none: they would die with it.
-  const int ticketCount = Open.isStopping() ? 0 : wantedTickets(request);
+  // A stopping daemon issues no tickets, since they are only valid while it
+  // runs.
+  const int ticketCount = Open.isStopping() ? 0 : requestedTickets(request);
   HttpResponse out;
   out.Body = Json{{"addresses", list},
                   {"ttl_ms", toMilliseconds(Settings.AddressTimeToLive)},
--- a/Services/sorrelbayd/CallerApi.h
+++ b/Services/sorrelbayd/CallerApi.h
@@ -13,39 +13,42 @@
 
 namespace sorrelbay {
 
-/// Where callers may go.
+/// The address of an entry host that accepts calls.
 struct EntryAddress {
   std::string Address;
   ZoneId Zone;
 };
 
-/// What callers can reach: model and desk calls, the address lookup, health
-/// and metrics. Every failure leaves as a problem document.
+/// The HTTP API for callers: model and desk calls, the address lookup, health
+/// and metrics. Every failure is returned as a problem document.
 class CallerApi {
 public:
   CallerApi(const DaemonSettings &settings, BundleStore &bundles,
             UpstreamTable &upstreams, ModelCalls &models, DeskCalls &desks,
             OpenCalls &open, Metrics &metrics);
 
-  /// Sets the routes; the server is not started here.
+  /// Registers the routes on the server without starting it.
   void serveOn(HttpServer &server);
-  /// What the other daemons say of themselves; set before the server starts.
+  /// Sets the source of the peers' own reports. To be called before the server
+  /// starts.
   void setPeers(std::function<std::vector<PeerView>()> peers) {
     Peers = std::move(peers);
   }
-  /// The address under which this daemon is listed; known once it listens.
+  /// Sets the address under which this daemon is listed, which is known once it
+  /// listens.
   void setOwnAddress(std::string address) { OwnAddress = std::move(address); }
 
 private:
-  /// What serves a call: it is refused with other addresses while the daemon is
-  /// stopping or not ready, and every problem is rendered.
+  /// Wraps the handler of a call: while the daemon is stopping or not ready,
+  /// calls are refused with the addresses of other entry hosts. A Problem that
+  /// the handler throws is rendered as the response.
   HttpServer::Handler callHandler(HttpServer::Handler handler) const;
-  /// A daemon without a bundle or a host list would accept calls that it can't
-  /// place.
+  /// Whether the daemon has a bundle and a fresh host list. Without them it
+  /// would accept calls that it can't send to any upstream.
   bool isReady() const;
   Problem refusal(const HttpRequest &request, const char *type,
                   const char *detail) const;
-  /// Entry hosts that callers may use, but for this one.
+  /// The entry hosts that callers may use, except this one.
   std::vector<EntryAddress> otherEntries() const;
   HttpResponse addresses(const HttpRequest &request) const;
   HttpResponse health() const;
--- a/Services/sorrelbayd/Daemon.cpp
+++ b/Services/sorrelbayd/Daemon.cpp
@@ -9,20 +9,23 @@
 namespace sorrelbay {
 
 static constexpr Duration RecoveryInterval = milliseconds(50);
-static constexpr Duration UpstreamTick = milliseconds(50);
+static constexpr Duration UpstreamTickInterval = milliseconds(50);
 static constexpr Duration RolloutInterval = milliseconds(100);
-/// Rounds of looking after which the object for others is written again.
-static constexpr unsigned RoundsForObject = 10;
+/// While a peer is connected, this host's object is written only in every n-th
+/// round.
+static constexpr unsigned RoundsPerObjectWrite = 10;
 static constexpr Duration HandoverInterval = milliseconds(100);
 static constexpr Duration HandoverTimeout = milliseconds(500);
-/// For callers to read where their answers go on.
+/// The time that callers get after the handover to read the new addresses of
+/// their answers.
 static constexpr Duration HandoverGrace = seconds(2);
-/// Load reports are asked for no faster than this, one after the other: each
-/// costs about 0.2 ms of processor time, which by the hundred would be more
-/// than control may cost. An upstream whose word is old is asked before it is
-/// given new work, so a slower round does no harm but to the estimates.
-static constexpr Duration LeastLoadPause = milliseconds(25);
-static constexpr Duration RetryPause = milliseconds(200);
+/// The minimum interval between two requests for load reports. Each request
+/// costs about 0.2 ms of processor time, which for hundreds of engines would
+/// exceed the processor time allowed for the control plane. An upstream whose
+/// last report is stale is asked before it receives new calls, so a slower
+/// round only makes the load estimates less accurate.
+static constexpr Duration MinLoadPollInterval = milliseconds(25);
+static constexpr Duration WatchRetryDelay = milliseconds(200);
 
 static HttpServerLimits serverLimits(const DaemonSettings &settings) {
   HttpServerLimits out;
@@ -38,20 +41,21 @@
       Peers(Settings, Bundles, Counts),
       Upstreams(Settings.Listen, Settings.Zone,
                 [this](const UpstreamId &engine) { return fetchLoad(engine); }),
-      Admitted([this](const ServiceId &it) { return Upstreams.placesFor(it); }),
-      Moves(Settings.Host,
-            [this](const VersionId &it) { return Upstreams.replicasOf(it); }),
-      Rollouts(Objects, Settings.Host, Moves),
+      Admissions(
+          [this](const ServiceId &it) { return Upstreams.callSlotsFor(it); }),
+      Tracker(Settings.Host,
+              [this](const VersionId &it) { return Upstreams.replicasOf(it); }),
+      Rollouts(Objects, Settings.Host, Tracker),
       Recovery(Settings, Upstreams, Answers, Counts),
-      Models(Settings, Bundles, Upstreams, Moves, Open, Counts, Answers,
-             Recovery, Admitted),
+      Models(Settings, Bundles, Upstreams, Tracker, Open, Counts, Answers,
+             Recovery, Admissions),
       Handovers(Settings, Bundles, Answers, Models, Open),
-      Desks(Settings, Bundles, Upstreams, Moves, Open, Counts, Objects),
+      Desks(Settings, Bundles, Upstreams, Tracker, Open, Counts, Objects),
       Callers(Settings, Bundles, Upstreams, Models, Desks, Open, Counts),
       Server(serverLimits(Settings)) {}
 
-// A daemon that could not listen has nothing to drain, and parts of it that
-// draining asks are not there yet.
+// A daemon that failed to listen has nothing to drain, and the peer mesh that
+// draining uses may not exist yet.
 Daemon::~Daemon() {
   if (HasStarted)
     stop();
@@ -60,7 +64,7 @@
 void Daemon::start() {
   Peers.onBundle([this] { applyBundle(); });
   Peers.onKnowledge(
-      [this](const PeerKnowledge &said) { onPeerKnowledge(said); });
+      [this](const PeerKnowledge &incoming) { onPeerKnowledge(incoming); });
   Peers.onFresh([this](const HostId &peer, Instant askedAt) {
     onPeerFreshness(peer, askedAt);
   });
@@ -68,12 +72,13 @@
   Callers.serveOn(Server);
   const std::string address = Server.bind(Settings.Listen);
   Callers.setOwnAddress(address);
-  Peers.serve(HandoverKind, [this](const HostId &, const std::string &body) {
-    Handovers.take(body);
-    return std::string();
-  });
+  Peers.registerHandler(HandoverKind,
+                        [this](const HostId &, const std::string &body) {
+                          Handovers.acceptHandover(body);
+                          return std::string();
+                        });
   Peers.start(address);
-  // Only now, since callers' handlers use all of the above.
+  // The callers' handlers use everything above, so the server starts last.
   Server.serve();
   HasStarted = true;
   LogLine(Severity::Info, "listening").field("address", address);
@@ -85,8 +90,8 @@
   addWorker(&Daemon::watchNotices);
   addWorker(&Daemon::pollLoads);
   addWorker(&Daemon::recoverStreams);
-  addWorker(&Daemon::rollOut);
-  addWorker(&Daemon::shareRollouts);
+  addWorker(&Daemon::tickRollouts);
+  addWorker(&Daemon::exchangeRollouts);
   addWorker(&Daemon::handOverBeforeEnd);
   addWorker(&Daemon::writeStatus);
 }
@@ -96,8 +101,9 @@
   LogLine(Severity::Info, "draining")
       .field("open_calls", static_cast<std::int64_t>(Open.count()));
   Open.beginStop();
-  // At once: the next look of a caller must already leave this daemon out.
-  Peers.refresh(true);
+  // Published at once, so that the next address lookup of a caller omits this
+  // daemon.
+  Peers.publishState(true);
   bool areAllDone = Open.waitForNone(Settings.StopGrace);
   if (!areAllDone) {
     handOverAnswers();
@@ -106,9 +112,10 @@
   LogLine(Severity::Info, "drained")
       .field("cut_off",
              static_cast<std::int64_t>(areAllDone ? 0 : Open.count()));
-  // Callers keep an address for its time to live, and the peers take a moment
-  // to leave it out. Were the port closed before, one that sends just then
-  // would see its connection reset and not know whether its call ran.
+  // Callers cache an address for its time to live, and the peers list it until
+  // they have received the update. If the port closed earlier, a caller that
+  // sends at that moment would see its connection reset and could not know
+  // whether its call ran.
   std::this_thread::sleep_until(start + 2 * Settings.AddressTimeToLive);
 }
 
@@ -165,14 +172,14 @@
     } catch (const Error &error) {
       LogLine(Severity::Warning, "bundle refused").field("error", error.what());
     }
-  } while (sleepFor(RetryPause));
+  } while (sleepFor(WatchRetryDelay));
 }
 
-void Daemon::applyBundle() { Admitted.setTeams(Bundles.current()->Teams); }
+void Daemon::applyBundle() { Admissions.setTeams(Bundles.current()->Teams); }
 
 void Daemon::publishToPeers() {
   do {
-    Peers.refresh(Open.isStopping());
+    Peers.publishState(Open.isStopping());
     Peers.publishLeaving(Upstreams.leavingNotices(now()));
   } while (sleepFor(Settings.PollInterval));
 }
@@ -213,7 +220,8 @@
   try {
     return fetchEngineLoad(engine, Settings.PollInterval);
   } catch (const EngineFailed &) {
-    // No report is no news; the host list says whether the host lives.
+    // A missing report has no effect: the host list decides whether the host is
+    // alive.
     return std::nullopt;
   }
 }
@@ -229,15 +237,15 @@
         Upstreams.applyLoad(it.Id, *load, askedAt);
     }
     const auto n = static_cast<std::int64_t>(engines.size());
-    interval = std::max(Settings.PollInterval, n * LeastLoadPause);
+    interval = std::max(Settings.PollInterval, n * MinLoadPollInterval);
   } while (sleepFor(interval));
 }
 
 void Daemon::tickUpstreams() {
   do {
     Upstreams.tick(now());
-    Admitted.tick();
-  } while (sleepFor(UpstreamTick));
+    Admissions.tick();
+  } while (sleepFor(UpstreamTickInterval));
 }
 
 void Daemon::recoverStreams() {
@@ -246,48 +254,49 @@
   while (sleepFor(RecoveryInterval));
 }
 
-void Daemon::rollOut() {
+void Daemon::tickRollouts() {
   while (sleepFor(RolloutInterval)) {
     const auto bundle = Bundles.current();
     if (!bundle)
       continue;
-    Moves.tick(*bundle, now());
-    if (!Moves.moves(*bundle).empty())
-      Peers.publishRollout(Moves.news());
+    Tracker.tick(*bundle, now());
+    if (!Tracker.rolloutViews(*bundle).empty())
+      Peers.publishRollout(Tracker.ownKnowledge());
   }
 }
 
-void Daemon::onPeerKnowledge(const PeerKnowledge &said) {
-  Moves.receive(said.Rollout);
+void Daemon::onPeerKnowledge(const PeerKnowledge &incoming) {
+  Tracker.receive(incoming.Rollout);
   std::vector<LeavingNotice> notices;
-  notices.reserve(said.Leaving.size());
-  for (const auto &[upstream, goneAt] : said.Leaving)
+  notices.reserve(incoming.Leaving.size());
+  for (const auto &[upstream, goneAt] : incoming.Leaving)
     notices.push_back({upstream, goneAt});
   Upstreams.applyPeerNotices(notices);
 }
 
 void Daemon::onPeerFreshness(const HostId &peer, Instant askedAt) {
-  // Runs on the mesh's thread alone, so it needs no lock.
+  // Runs only on the mesh's thread and needs no lock.
   Freshness.answered(peer, askedAt);
   const Instant until = Freshness.knownUntil(Peers.peers().size());
   if (until != Instant{})
-    Moves.refreshed(until);
+    Tracker.refreshed(until);
 }
 
-void Daemon::shareRollouts() {
+void Daemon::exchangeRollouts() {
   for (unsigned round = 0; sleepFor(Settings.PollInterval); ++round) {
     const auto bundle = Bundles.current();
-    if (!bundle || Moves.moves(*bundle).empty())
+    if (!bundle || Tracker.rolloutViews(*bundle).empty())
       continue;
     try {
-      // Reading every host's object costs calls by the square of the hosts, so
-      // that is only done where no peer tells.
+      // If every host reads every host's object, the number of calls grows with
+      // the square of the number of hosts. The objects are therefore read only
+      // while no peer is connected.
       if (!Peers.hasLivePeer())
         Rollouts.exchange();
-      else if (round % RoundsForObject == 0)
-        Rollouts.tell();
+      else if (round % RoundsPerObjectWrite == 0)
+        Rollouts.writeOwn();
     } catch (const Error &error) {
-      LogLine(Severity::Info, "rollouts not shared")
+      LogLine(Severity::Info, "rollout state not exchanged")
           .field("error", error.what());
     }
   }
@@ -296,7 +305,7 @@
 void Daemon::scheduleHandover(Instant at) {
   Open.beginStop();
   const std::lock_guard<std::mutex> lock(StopMutex);
-  // The first half of the notice is left to answers that end by themselves.
+  // Answers may end by themselves during the first half of the notice period.
   const Instant start = now();
   HandoverAt = start + std::max(Duration{}, at - start) / 2;
 }
@@ -330,11 +339,11 @@
     const auto bundle = Bundles.current();
     if (!bundle)
       continue;
-    for (const RolloutView &it : Moves.moves(*bundle)) {
+    for (const RolloutView &it : Tracker.rolloutViews(*bundle)) {
       try {
         Rollouts.writeStatus(it, bundle->Generation);
       } catch (const Error &error) {
-        LogLine(Severity::Info, "status not written")
+        LogLine(Severity::Info, "rollout status not written")
             .field("error", error.what());
       }
     }
--- a/Services/sorrelbayd/Daemon.h
+++ b/Services/sorrelbayd/Daemon.h
@@ -26,9 +26,9 @@
 
 namespace sorrelbay {
 
-/// One entry host's process: the shared tables, what serves callers, and the
-/// workers that keep the tables fresh. No table's lock is held while another
-/// table is called, so there is no order among them to keep.
+/// The process of an entry host: the shared tables, the API for callers and the
+/// worker threads that keep the tables up to date. No table's lock is held
+/// while another table is called, so there is no lock order among tables.
 class Daemon {
 public:
   explicit Daemon(DaemonSettings settings);
@@ -36,18 +36,20 @@
   Daemon(const Daemon &) = delete;
   Daemon &operator=(const Daemon &) = delete;
 
-  /// Starts to listen and to work. Throws HttpListenFailed, and
-  /// PeerListenFailed where peers are to connect.
+  /// Listens for callers and peers and starts the workers. Throws
+  /// HttpListenFailed if the callers' address can't be bound, and
+  /// PeerListenFailed if the peers' address can't be bound.
   void start();
-  /// A planned stop: unlists the daemon, refuses new calls with other addresses
-  /// for as long as callers may keep this one, and returns when all in flight
-  /// have ended or the grace is over.
+  /// Stops as planned: removes the daemon from the address list and refuses new
+  /// calls with the addresses of other entry hosts while callers may still have
+  /// this daemon's address cached. Returns when all calls in flight have ended
+  /// or the grace period is over.
   void stop();
 
 private:
   void drain();
   void addWorker(void (Daemon::*work)());
-  /// Waits for the interval; false when the workers are to end.
+  /// Waits for the interval. Returns false when the workers have to end.
   bool sleepFor(Duration interval);
   void pollHostList();
   void watchNotices();
@@ -55,19 +57,21 @@
   void tickUpstreams();
   std::optional<EngineLoad> fetchLoad(const UpstreamId &engine) const;
   void watchBundle();
-  /// Passes a bundle that has come into force on to what keeps parts of it.
+  /// Updates the components that hold parts of the bundle after a new one has
+  /// come into force.
   void applyBundle();
   void publishToPeers();
   void recoverStreams();
-  /// The cloud takes this host back at that time.
+  /// Schedules the handover of open answers; the cloud reclaims this host at
+  /// the given time.
   void scheduleHandover(Instant at);
   void handOverBeforeEnd();
   void handOverAnswers();
   void writeStatus();
-  void rollOut();
-  void shareRollouts();
-  void onPeerKnowledge(const PeerKnowledge &said);
-  /// A peer has sent all that it knew at that time.
+  void tickRollouts();
+  void exchangeRollouts();
+  void onPeerKnowledge(const PeerKnowledge &incoming);
+  /// Called when a peer has sent all that it knew at the given time.
   void onPeerFreshness(const HostId &peer, Instant askedAt);
 
   const DaemonSettings Settings;
@@ -77,8 +81,8 @@
   BundleStore Bundles;
   PeerMessaging Peers;
   UpstreamTable Upstreams;
-  CallAdmission Admitted;
-  RolloutTracker Moves;
+  CallAdmission Admissions;
+  RolloutTracker Tracker;
   RolloutExchange Rollouts;
   LiveAnswers Answers;
   StreamRecovery Recovery;
@@ -87,18 +91,21 @@
   DeskCalls Desks;
   CallerApi Callers;
   HttpServer Server;
-  /// Belongs to the mesh's thread.
+  /// Used only on the mesh's thread.
   PeerFreshness Freshness;
   std::vector<std::thread> Workers;
   std::mutex StopMutex;
   std::condition_variable StopChanged;
-  /// Callers are served; belongs to the thread that starts and stops.
+  /// Whether callers are served. Used only on the thread that calls start() and
+  /// stop().
   bool HasStarted = false;
-  /// A planned stop has begun; workers go on while calls are in flight.
+  /// Whether a planned stop has begun. The workers run on while calls are in
+  /// flight.
   bool IsDraining = false;
-  /// All calls have ended; workers end too.
+  /// Whether all calls have ended; the workers then end, too.
   bool IsStopping = false;
-  /// When the open answers go to peers; nothing while this host stays.
+  /// When the open answers are handed over to peers. Not set while there is no
+  /// reclaim notice for this host.
   std::optional<Instant> HandoverAt;
 };
 
--- a/Services/sorrelbayd/DaemonSettings.cpp
+++ b/Services/sorrelbayd/DaemonSettings.cpp
@@ -56,14 +56,14 @@
       limits.integer("max_open_calls", 600, 1, 10'000));
   if (out.MaxOpenCalls >= out.Workers)
     limits.addFault("max_open_calls",
-                    "must be below workers, or refusals and health checks "
-                    "would wait behind open calls");
+                    "must be below workers; otherwise refusals and health "
+                    "checks would wait for open calls to end");
 }
 
 void readTimes(TomlReader times, DaemonSettings &out) {
-  const auto read = [&times](const char *key, std::int64_t otherwise,
+  const auto read = [&times](const char *key, std::int64_t defaultValue,
                              std::int64_t low, std::int64_t high) {
-    return milliseconds(times.integer(key, otherwise, low, high));
+    return milliseconds(times.integer(key, defaultValue, low, high));
   };
   out.ObjectApiTimeout = read("object_api_timeout_ms", 1000, 10, 60'000);
   out.EngineSilenceTimeout = read("engine_silence_ms", 5000, 50, 600'000);
@@ -75,10 +75,10 @@
 }
 
 void readRecovery(TomlReader recovery, RecoverySettings &out) {
-  const auto read = [&recovery](const char *key, std::uint32_t otherwise,
+  const auto read = [&recovery](const char *key, std::uint32_t defaultValue,
                                 std::int64_t low) {
     return static_cast<std::uint32_t>(
-        recovery.integer(key, otherwise, low, 1000));
+        recovery.integer(key, defaultValue, low, 1000));
   };
   out.TokensPerSecond =
       recovery.number("tokens_per_second", out.TokensPerSecond, 1, 100'000);
--- a/Services/sorrelbayd/DeskCalls.cpp
+++ b/Services/sorrelbayd/DeskCalls.cpp
@@ -12,17 +12,20 @@
 namespace sorrelbay {
 
 static constexpr int MaxAttempts = 3;
-/// Lines of failures a second; what is left out is counted in the next.
+/// The maximum number of failure lines logged per second. The next line has the
+/// number of suppressed ones.
 static constexpr double FailureLinesPerSecond = 50;
-static constexpr Duration ComeBackSoon = milliseconds(500);
+static constexpr Duration ShortRetryAfter = milliseconds(500);
 static constexpr int FirstServerFault = 500;
 static constexpr int StatusMisdirected = 421;
-// A refusal is final and comes soon: this long it may ask the ledger.
-static constexpr Duration ShedPatience = milliseconds(500);
-static constexpr Duration QueryPatience = seconds(5);
-// What the way to another daemon and back may add to a call's deadline.
+// The wait limit of a call beyond the limit of open calls, whose refusal is
+// recorded in the ledger to make it final.
+static constexpr Duration ShedWaitLimit = milliseconds(500);
+static constexpr Duration QueryWaitLimit = seconds(5);
+// The time that forwarding to another daemon and back may add to a call's
+// deadline.
 static constexpr Duration ForwardSlack = milliseconds(200);
-/// On a call that another daemon has handed over; it isn't handed on again.
+/// Marks a call that another daemon has forwarded; it is not forwarded again.
 static const char *const ForwardedHeader = "X-Forwarded-Ticket";
 
 struct DeskCalls::Work {
@@ -31,17 +34,19 @@
   VersionId Version;
   std::string RequestId;
   std::string Body;
-  /// Grows with each replica that was tried.
+  /// Each replica that was tried is added to the excluded ones.
   PlacementRequest Placing;
-  /// Held until the call has come to its end, which may be after its answer.
-  std::unique_ptr<OpenCallGuard> Place;
+  /// Counts the call as open until it has ended, which may be after the caller
+  /// has its response. Null if the call was not admitted.
+  std::unique_ptr<OpenCallGuard> OpenCall;
 };
 
 DeskCalls::DeskCalls(const DaemonSettings &settings, BundleStore &bundles,
-                     UpstreamTable &upstreams, RolloutTracker &moves,
+                     UpstreamTable &upstreams, RolloutTracker &tracker,
                      OpenCalls &open, Metrics &metrics, ObjectApi objects)
-    : Settings(settings), Bundles(bundles), Upstreams(upstreams), Moves(moves),
-      Open(open), Counts(metrics), Once(std::move(objects), settings.Workers),
+    : Settings(settings), Bundles(bundles), Upstreams(upstreams),
+      Tracker(tracker), Open(open), Counts(metrics),
+      NonRepeatableCalls(std::move(objects), settings.Workers),
       FailureLines(FailureLinesPerSecond) {}
 
 void DeskCalls::logFailure(const char *event, const IdempotencyKey &key,
@@ -82,10 +87,10 @@
   const std::string key =
       work->Context.Key.empty() ? work->RequestId : work->Context.Key.text();
   work->Version =
-      Moves.choose(*bundle, service->Id, stableHash(key), route->Repeatable);
+      Tracker.choose(*bundle, service->Id, stableHash(key), route->Repeatable);
   work->Placing.ForService = service->Id;
   work->Placing.AllowedVersion = work->Version;
-  work->Placing.Tried = Moves.unpackedReplicas(work->Version);
+  work->Placing.Tried = Tracker.excludedReplicas(work->Version);
   return work;
 }
 
@@ -99,12 +104,12 @@
   }
   refuseIfMisdirected(request, work->Context.Key);
   if (Open.tryBegin())
-    work->Place = std::make_unique<OpenCallGuard>(Open);
+    work->OpenCall = std::make_unique<OpenCallGuard>(Open);
   if (!work->Operation.Repeatable)
-    return answerOnce(work);
-  if (!work->Place)
+    return answerAtMostOnce(work);
+  if (!work->OpenCall)
     throw Problem(503, "overloaded", "every place for calls is taken",
-                  refusalOutcome(request), ComeBackSoon);
+                  refusalOutcome(request), ShortRetryAfter);
   return answerRepeatable(*work);
 }
 
@@ -126,16 +131,16 @@
       return out;
     } catch (const DeskRejected &) {
     } catch (const DeskOutcomeUnknown &) {
-      // It may have run, which does no harm: the operation is repeatable.
+      // The call may have run, which is harmless for a repeatable operation.
     }
   }
   Counts.countCall(work.Operation.Id.text(), "failed");
   throw Problem(503, "no-upstream", "no desk took the call", Outcome::Unknown,
-                ComeBackSoon);
+                ShortRetryAfter);
 }
 
-// Sends the call to a replica that has not had it yet. Throws DeskRejected if
-// there is none, and as callDesk does.
+// Sends the call to a replica that has not been tried yet. Throws DeskRejected
+// if there is none; otherwise throws as callDesk() does.
 DeskAnswer DeskCalls::sendNext(Work &work) {
   const Span span("desk call", work.Context.Trace);
   work.Placing.Seed = stableHash(work.RequestId, work.Placing.Tried.size());
@@ -162,8 +167,8 @@
   try {
     DeskAnswer answer = callDesk(*choice.Upstream, request);
     finish();
-    Moves.record({work.Version, work.Operation.Id},
-                 outcomeOf(answer, now() - sentAt, work.Operation));
+    Tracker.record({work.Version, work.Operation.Id},
+                   outcomeOf(answer, now() - sentAt, work.Operation));
     Counts.countCall(work.Operation.Id.text(), "ok");
     return answer;
   } catch (const DeskRejected &error) {
@@ -177,12 +182,13 @@
                choice.Upstream->text() + ": " + error.what());
     Counts.countCall(work.Operation.Id.text(), "unknown");
     if (!Upstreams.isLeaving(*choice.Upstream))
-      Moves.record({work.Version, work.Operation.Id}, UpstreamOutcome::Failed);
+      Tracker.record({work.Version, work.Operation.Id},
+                     UpstreamOutcome::Failed);
     throw;
   }
 }
 
-HttpResponse DeskCalls::answerOnce(const std::shared_ptr<Work> &work) {
+HttpResponse DeskCalls::answerAtMostOnce(const std::shared_ptr<Work> &work) {
   DeskCallHooks hooks;
   hooks.Send = [this, work] { return sendNext(*work); };
   hooks.Forward = [this, work](const CallTicket &ticket) {
@@ -193,14 +199,14 @@
     return forward(work->Context, call, ticket, false);
   };
   const CallId id{work->Context.FromTeam, work->Context.Key};
-  const bool isShed = work->Place == nullptr;
+  const bool isShed = work->OpenCall == nullptr;
   const Instant deadline =
-      isShed ? std::min(work->Context.Deadline, now() + ShedPatience)
+      isShed ? std::min(work->Context.Deadline, now() + ShedWaitLimit)
              : work->Context.Deadline;
-  const auto entrance = isShed ? AtMostOnceCalls::EntryMode::Shed
-                               : AtMostOnceCalls::EntryMode::Run;
-  const DeskCallAnswer answer = Once.handle(
-      entrance, id, attemptOf(work->Context), deadline, std::move(hooks));
+  const auto entryMode = isShed ? AtMostOnceCalls::EntryMode::Shed
+                                : AtMostOnceCalls::EntryMode::Run;
+  const DeskCallAnswer answer = NonRepeatableCalls.handle(
+      entryMode, id, attemptOf(work->Context), deadline, std::move(hooks));
   if (answer.Outcome == CallOutcome::NotRun)
     Counts.countCall(work->Operation.Id.text(), "not_run");
   if (answer.Outcome != CallOutcome::Done)
@@ -215,7 +221,8 @@
   const CallId id{context.FromTeam, IdempotencyKey(request.Parts.at(0))};
   const auto bundle = requireBundle(Bundles, Outcome::Unknown);
   requireTeam(*bundle, id.Team, Outcome::Unknown);
-  // The key goes into the ledger, so it is bounded as in a call's header.
+  // The key is stored in the ledger, so it has the same limit as in a call's
+  // header.
   if (id.Key.text().size() > MaxHeaderValueBytes)
     throw Problem(400, "bad-request", "the key is too long", Outcome::Unknown);
   refuseIfMisdirected(request, id.Key);
@@ -228,23 +235,24 @@
     call.Path = "/v1/calls/" + id.Key.text();
     return forward(context, call, ticket, true);
   };
-  const Instant deadline = std::min(context.Deadline, now() + QueryPatience);
+  const Instant deadline = std::min(context.Deadline, now() + QueryWaitLimit);
   const DeskCallAnswer answer =
-      Once.handle(AtMostOnceCalls::EntryMode::Query, id, attemptOf(context),
-                  deadline, std::move(hooks));
+      NonRepeatableCalls.handle(AtMostOnceCalls::EntryMode::Query, id,
+                                attemptOf(context), deadline, std::move(hooks));
   return renderCallQuery(id, attemptOf(context), answer);
 }
 
 IdempotencyKey DeskCalls::issueTicket(const std::string &ownAddress) {
-  return ticketKey(Once.issueTicket(ownAddress));
+  return ticketKey(NonRepeatableCalls.issueTicket(ownAddress));
 }
 
-// A ticket's address may be another daemon's by now. That one must say that it
-// isn't the owner, and not hand the call on in its turn.
+// Another daemon may have the ticket's address by now. It has to refuse the
+// call as misdirected and must not forward it again.
 void DeskCalls::refuseIfMisdirected(const HttpRequest &request,
                                     const IdempotencyKey &key) const {
   const auto ticket = parseTicket(key);
-  const bool isForeign = ticket && ticket->Owner != Once.incarnation();
+  const bool isForeign =
+      ticket && ticket->Owner != NonRepeatableCalls.incarnation();
   if (isForeign && hasHeader(request.Headers, ForwardedHeader))
     throw Problem(StatusMisdirected, "misdirected",
                   "this daemon has not given out the ticket",
@@ -253,7 +261,8 @@
 
 DeskCallAnswer DeskCalls::forward(const CallContext &context, HttpCall call,
                                   const CallTicket &ticket, bool isQuery) {
-  // A caller can write any address into a ticket; only entry hosts are called.
+  // A caller can put any address into a ticket, so the call is only forwarded
+  // to entry hosts.
   const auto entries = Upstreams.entryHosts();
   const bool isEntry =
       std::any_of(entries.begin(), entries.end(), [&](const HostListEntry &it) {
--- a/Services/sorrelbayd/DeskCalls.h
+++ b/Services/sorrelbayd/DeskCalls.h
@@ -16,31 +16,33 @@
 
 namespace sorrelbay {
 
-/// Answers desk calls. Those that may be repeated are tried at several
-/// replicas; all others run at most once, by way of AtMostOnceCalls.
+/// Answers desk calls. Repeatable operations are tried at several replicas; all
+/// others run at most once, through AtMostOnceCalls.
 class DeskCalls {
 public:
   DeskCalls(const DaemonSettings &settings, BundleStore &bundles,
-            UpstreamTable &upstreams, RolloutTracker &moves, OpenCalls &open,
+            UpstreamTable &upstreams, RolloutTracker &tracker, OpenCalls &open,
             Metrics &metrics, ObjectApi objects);
 
-  /// The answer to `POST /v1/desk/{operation}`. Throws Problem.
+  /// Handles `POST /v1/desk/{operation}`. Throws Problem.
   HttpResponse answer(const HttpRequest &request);
-  /// The answer to `GET /v1/calls/{key}`: what became of the call. Throws
+  /// Handles `GET /v1/calls/{key}`, which returns the call's outcome. Throws
   /// Problem.
   HttpResponse query(const HttpRequest &request);
-  /// A key that runs without the object API, but only through this daemon.
+  /// Issues a key for a call that does not need the object API, but can only
+  /// run through this daemon.
   IdempotencyKey issueTicket(const std::string &ownAddress);
 
 private:
   struct Work;
   std::shared_ptr<Work> prepare(const HttpRequest &request);
   HttpResponse answerRepeatable(Work &work);
-  HttpResponse answerOnce(const std::shared_ptr<Work> &work);
+  HttpResponse answerAtMostOnce(const std::shared_ptr<Work> &work);
   DeskAnswer sendNext(Work &work);
   DeskCallAnswer forward(const CallContext &context, HttpCall call,
                          const CallTicket &ticket, bool isQuery);
-  /// A line for a call that was not done, or for one try that came to nothing.
+  /// Logs a call that was not done or an attempt that failed, within the rate
+  /// limit for such lines.
   void logFailure(const char *event, const IdempotencyKey &key,
                   const char *outcome, const std::string &why);
   void refuseIfMisdirected(const HttpRequest &request,
@@ -49,11 +51,11 @@
   const DaemonSettings &Settings;
   BundleStore &Bundles;
   UpstreamTable &Upstreams;
-  RolloutTracker &Moves;
+  RolloutTracker &Tracker;
   OpenCalls &Open;
   Metrics &Counts;
-  AtMostOnceCalls Once;
-  /// A leaf lock; belongs to the budget.
+  AtMostOnceCalls NonRepeatableCalls;
+  /// Guards FailureLines; a leaf lock.
   std::mutex LogMutex;
   LogRateLimiter FailureLines;
 };
--- a/Services/sorrelbayd/LiveAnswer.cpp
+++ b/Services/sorrelbayd/LiveAnswer.cpp
@@ -5,18 +5,19 @@
 namespace sorrelbay {
 
 LiveAnswer::LiveAnswer(AnswerRequest request, AnswerStream stream)
-    : What(std::move(request)), Stream(std::move(stream)), UnreadSince(now()) {}
+    : CallRequest(std::move(request)), Stream(std::move(stream)),
+      UnreadSince(now()) {}
 
 AnswerAttempt LiveAnswer::beginAttempt(const UpstreamId &upstream) {
   const std::lock_guard<std::mutex> lock(Mutex);
-  At = upstream;
+  CurrentUpstream = upstream;
   TokensOfAttempt = 0;
   return Stream.beginAttempt();
 }
 
-bool LiveAnswer::attach(std::function<void()> cancelConnection) {
+bool LiveAnswer::setCancelHook(std::function<void()> cancelConnection) {
   const std::lock_guard<std::mutex> lock(Mutex);
-  if (Next || !MovedTo.empty())
+  if (PendingRedirect || !HandoverNotice.empty())
     return false;
   CancelConnection = std::move(cancelConnection);
   return true;
@@ -35,7 +36,7 @@
     return verdict;
   ++TokensOfAttempt;
   if (Stream.nextOffset() == 1)
-    WasLate = now() - What.Arrival > What.OnRoute.LatencyTarget;
+    WasLate = now() - CallRequest.Arrival > CallRequest.OnRoute.LatencyTarget;
   Changed.notify_all();
   return verdict;
 }
@@ -46,7 +47,7 @@
   const EndVerdict verdict = Stream.finish(end);
   if (verdict != EndVerdict::Whole)
     return verdict;
-  Reason = reason;
+  EndReason = reason;
   Ended = now();
   Changed.notify_all();
   return verdict;
@@ -61,7 +62,7 @@
 
 void LiveAnswer::redirect(Redirect to) {
   const std::lock_guard<std::mutex> lock(Mutex);
-  Next = std::move(to);
+  PendingRedirect = std::move(to);
   if (CancelConnection)
     CancelConnection();
   Changed.notify_all();
@@ -69,14 +70,15 @@
 
 bool LiveAnswer::isRedirected() const {
   const std::lock_guard<std::mutex> lock(Mutex);
-  return Next.has_value();
+  return PendingRedirect.has_value();
 }
 
 std::optional<Redirect> LiveAnswer::takeRedirect(Instant until) {
   std::unique_lock<std::mutex> lock(Mutex);
-  Changed.wait_until(lock, until,
-                     [this] { return Next.has_value() || !MovedTo.empty(); });
-  return std::exchange(Next, std::nullopt);
+  Changed.wait_until(lock, until, [this] {
+    return PendingRedirect.has_value() || !HandoverNotice.empty();
+  });
+  return std::exchange(PendingRedirect, std::nullopt);
 }
 
 std::optional<Handover> LiveAnswer::freeze() {
@@ -85,16 +87,16 @@
     return std::nullopt;
   FrozenAt = Stream.nextOffset();
   Handover handover;
-  handover.Request = What.Id;
-  handover.Team = What.Context.FromTeam;
-  handover.OnRoute = What.OnRoute.Id;
-  handover.Version = What.Version;
-  handover.Body = renderModelCall(What.Call);
+  handover.Request = CallRequest.Id;
+  handover.Team = CallRequest.Context.FromTeam;
+  handover.OnRoute = CallRequest.OnRoute.Id;
+  handover.Version = CallRequest.Version;
+  handover.Body = renderModelCall(CallRequest.Call);
   handover.Tokens = Stream.tokens();
   handover.LastAttempt = Stream.lastAttempt();
-  handover.At = At;
-  handover.Deadline = What.Context.Deadline;
-  handover.TraceParent = renderTraceParent(What.Context.Trace);
+  handover.At = CurrentUpstream;
+  handover.Deadline = CallRequest.Context.Deadline;
+  handover.TraceParent = renderTraceParent(CallRequest.Context.Trace);
   return handover;
 }
 
@@ -106,42 +108,43 @@
 
 void LiveAnswer::setMoved(std::string notice) {
   const std::lock_guard<std::mutex> lock(Mutex);
-  MovedTo = std::move(notice);
+  HandoverNotice = std::move(notice);
   Ended = now();
   if (CancelConnection)
     CancelConnection();
   Changed.notify_all();
 }
 
-std::string LiveAnswer::movedTo() const {
+std::string LiveAnswer::handoverNotice() const {
   const std::lock_guard<std::mutex> lock(Mutex);
-  return MovedTo;
+  return HandoverNotice;
 }
 
 std::uint64_t
 LiveAnswer::beginReading(std::optional<std::uint64_t> lastEventId) {
   const std::lock_guard<std::mutex> lock(Mutex);
   Stream.reconnect(lastEventId);
-  IsRead = true;
-  ++Reader;
+  HasReader = true;
+  ++CurrentReader;
   Changed.notify_all();
-  return Reader;
+  return CurrentReader;
 }
 
-/// The next event for the reader. Without one, isOver says whether none will
-/// come: the end or failure was reached, or the reader is superseded.
+/// Returns the next event for the reader. If there is none, isOver is set to
+/// whether none will follow, because the answer has ended, failed or moved, or
+/// another reader has replaced this one.
 std::optional<AnswerEvent> LiveAnswer::nextFor(std::uint64_t reader, bool waits,
                                                bool &isOver) {
   std::unique_lock<std::mutex> lock(Mutex);
   while (true) {
-    isOver = reader != Reader;
+    isOver = reader != CurrentReader;
     if (isOver)
       return std::nullopt;
     const bool isHeldBack = FrozenAt && Stream.nextEventId() >= *FrozenAt;
     if (!isHeldBack)
       if (auto event = Stream.nextEvent())
         return event;
-    isOver = isHeldBack ? !MovedTo.empty() : Ended.has_value();
+    isOver = isHeldBack ? !HandoverNotice.empty() : Ended.has_value();
     if (isOver || !waits)
       return std::nullopt;
     Changed.wait(lock);
@@ -157,7 +160,7 @@
     return false;
   }
   const std::lock_guard<std::mutex> lock(Mutex);
-  return reader == Reader && IsRead;
+  return reader == CurrentReader && HasReader;
 }
 
 ReaderEnd LiveAnswer::read(std::uint64_t reader, const Sink &sink) {
@@ -165,30 +168,30 @@
   while (const auto event = nextFor(reader, true, isOver)) {
     if (!sink(*event)) {
       endReading(reader);
-      return ReaderEnd::Gone;
+      return ReaderEnd::Disconnected;
     }
     if (event->IsEnd)
       return ReaderEnd::Whole;
   }
   const std::lock_guard<std::mutex> lock(Mutex);
-  if (reader != Reader)
-    return ReaderEnd::Gone;
-  if (!MovedTo.empty())
+  if (reader != CurrentReader)
+    return ReaderEnd::Disconnected;
+  if (!HandoverNotice.empty())
     return ReaderEnd::Moved;
   return Failure ? ReaderEnd::Failed : ReaderEnd::Whole;
 }
 
 void LiveAnswer::endReading(std::uint64_t reader) {
   const std::lock_guard<std::mutex> lock(Mutex);
-  if (reader != Reader || !IsRead)
+  if (reader != CurrentReader || !HasReader)
     return;
-  IsRead = false;
+  HasReader = false;
   UnreadSince = now();
 }
 
 Duration LiveAnswer::unreadFor(Instant at) const {
   const std::lock_guard<std::mutex> lock(Mutex);
-  return IsRead ? Duration{} : at - UnreadSince;
+  return HasReader ? Duration{} : at - UnreadSince;
 }
 
 std::uint64_t LiveAnswer::tokenCount() const {
@@ -218,7 +221,7 @@
 
 std::string LiveAnswer::finishReason() const {
   const std::lock_guard<std::mutex> lock(Mutex);
-  return Reason;
+  return EndReason;
 }
 
 std::shared_ptr<const Problem> LiveAnswer::failure() const {
--- a/Services/sorrelbayd/LiveAnswer.h
+++ b/Services/sorrelbayd/LiveAnswer.h
@@ -16,7 +16,8 @@
 
 class Problem;
 
-/// What an answer is to; it doesn't change while the answer is made.
+/// The request that an answer belongs to. It does not change while the answer
+/// is generated.
 struct AnswerRequest {
   RequestId Id;
   CallContext Context;
@@ -26,91 +27,95 @@
   Instant Arrival;
 };
 
-/// Where an answer goes on.
+/// The engine at which an answer continues.
 struct Redirect {
   UpstreamId To;
-  /// The moved KV cache, or empty.
+  /// The handle of the moved KV cache, or empty.
   std::string CacheHandle;
 };
 
-/// How a reader of events left off.
+/// Why a reader of events stopped.
 enum class ReaderEnd {
   /// The caller has the whole answer.
   Whole,
-  /// The answer failed; failure() says why.
+  /// The answer failed; failure() has the cause.
   Failed,
-  /// The answer goes on at a peer; movedTo() says where.
+  /// The answer continues at a peer; handoverNotice() has its address.
   Moved,
-  /// The caller's connection broke, or the caller came back on another one.
-  Gone,
+  /// The caller's connection broke, or the caller reconnected and another
+  /// reader has replaced this one.
+  Disconnected,
 };
 
-/// One answer while it is made, and for a while after it: shared by the thread
-/// that reads the engines, the callers' connections and the recovery. All
-/// members are thread-safe; the lock is a leaf.
+/// An answer while it is generated, and for a limited time after its end.
+/// Shared by the thread that reads from the engines, the callers' connections
+/// and the stream recovery. All members are thread-safe; the lock is a leaf.
 ///
-/// The answer outlives its caller's connection, since that may break while the
-/// caller lives; a caller that comes back goes on after what it has seen.
+/// The answer outlives its caller's connection, which may break while the
+/// caller is alive. A caller that reconnects continues after the last event
+/// that it has received.
 class LiveAnswer {
 public:
-  /// Takes an event; false if the caller's connection is gone.
+  /// Sends an event to the caller. Returns false if its connection is closed.
   using Sink = std::function<bool(const AnswerEvent &)>;
 
   LiveAnswer(AnswerRequest request, AnswerStream stream);
 
-  const AnswerRequest What;
+  const AnswerRequest CallRequest;
 
   AnswerAttempt beginAttempt(const UpstreamId &upstream);
-  /// The hook cancels the attempt's connection. False if a redirect came first,
-  /// which then has to be followed instead.
-  bool attach(std::function<void()> cancelConnection);
-  /// The attempt's connection is about to be destroyed.
+  /// Sets the hook that cancels the attempt's connection. Returns false if a
+  /// redirect or handover came first and has to be followed instead.
+  bool setCancelHook(std::function<void()> cancelConnection);
+  /// Ends the attempt. To be called before the attempt's connection is
+  /// destroyed.
   void endAttempt();
   TokenVerdict take(const ArrivedToken &token);
   EndVerdict finish(const ArrivedEnd &end, const std::string &reason);
   void fail(std::shared_ptr<const Problem> why);
 
-  /// Ends the running attempt; the answer goes on there.
+  /// Ends the running attempt and continues the answer at the given engine.
   void redirect(Redirect to);
   bool isRedirected() const;
 
-  /// What a peer needs to go on. From here on readers get nothing that the
-  /// peer hasn't got, while the answer is made on in case the peer fails.
-  /// Nothing if the answer has ended.
+  /// Returns the state that a peer needs to continue the answer, or nothing if
+  /// the answer has ended. From here on readers receive no event that is not in
+  /// this state, while the answer continues here in case the peer fails.
   std::optional<Handover> freeze();
   void unfreeze();
-  /// A peer goes on: ends the attempt here and all reading. The notice is for
-  /// the caller.
+  /// Ends the attempt and all reading here, since a peer continues the answer.
+  /// The notice is sent to the caller.
   void setMoved(std::string notice);
-  /// The notice of setMoved(), or empty.
-  std::string movedTo() const;
+  /// The notice that setMoved() was given, or empty.
+  std::string handoverNotice() const;
 
-  /// Waits for a redirect until then; nothing if none came.
+  /// Waits for a redirect until the given time. Returns nothing if there was
+  /// none.
   std::optional<Redirect> takeRedirect(Instant until);
 
-  /// A caller's connection begins to read; the one before is superseded. Throws
-  /// UnknownEventId. Returns the reader's number.
+  /// Makes a caller's connection the reader in place of the previous one and
+  /// returns the reader's number. Throws UnknownEventId.
   std::uint64_t beginReading(std::optional<std::uint64_t> lastEventId);
-  /// Gives the reader what there is, without waiting; false if its connection
-  /// is gone or superseded.
+  /// Sends the reader all available events without waiting. Returns false if
+  /// its connection is closed or was replaced by another.
   bool drain(std::uint64_t reader, const Sink &sink);
-  /// Gives the reader events until the end.
+  /// Sends the reader events until the end of the answer.
   ReaderEnd read(std::uint64_t reader, const Sink &sink);
-  /// The reader's connection broke.
+  /// Records that the reader's connection broke.
   void endReading(std::uint64_t reader);
-  /// How long no caller has read; zero while one does.
+  /// The time for which the answer has had no reader; zero while it has one.
   Duration unreadFor(Instant at) const;
 
   std::uint64_t tokenCount() const;
   std::vector<std::string> tokens() const;
   DroppedCount dropped() const;
-  /// Whether the token taken last was the first of its attempt.
+  /// Whether the last accepted token was the first of its attempt.
   bool isFirstOfAttempt() const;
-  /// Whether the first token came after the route's latency target.
+  /// Whether the first token arrived later than the route's latency target.
   bool wasLate() const;
   std::string finishReason() const;
   std::shared_ptr<const Problem> failure() const;
-  /// When the answer ended or failed.
+  /// The time at which the answer ended, failed or was handed over.
   std::optional<Instant> endedAt() const;
 
 private:
@@ -120,16 +125,16 @@
   mutable std::mutex Mutex;
   std::condition_variable Changed;
   AnswerStream Stream;
-  std::string Reason;
+  std::string EndReason;
   std::shared_ptr<const Problem> Failure;
   std::optional<Instant> Ended;
   std::function<void()> CancelConnection;
-  std::optional<Redirect> Next;
-  UpstreamId At;
+  std::optional<Redirect> PendingRedirect;
+  UpstreamId CurrentUpstream;
   std::optional<std::uint64_t> FrozenAt;
-  std::string MovedTo;
-  std::uint64_t Reader = 0;
-  bool IsRead = false;
+  std::string HandoverNotice;
+  std::uint64_t CurrentReader = 0;
+  bool HasReader = false;
   std::uint64_t TokensOfAttempt = 0;
   bool WasLate = false;
   Instant UnreadSince;
--- a/Services/sorrelbayd/LiveAnswers.cpp
+++ b/Services/sorrelbayd/LiveAnswers.cpp
@@ -4,15 +4,16 @@
 
 void LiveAnswers::add(const std::shared_ptr<LiveAnswer> &answer) {
   const std::lock_guard<std::mutex> lock(Mutex);
-  Answers[answer->What.Id] = answer;
+  Answers[answer->CallRequest.Id] = answer;
 }
 
 std::shared_ptr<LiveAnswer> LiveAnswers::find(const RequestId &request,
                                               const TeamId &team) const {
   const std::lock_guard<std::mutex> lock(Mutex);
   const auto it = Answers.find(request);
-  // A request id is no secret; another team's answer is not shown for it.
-  if (it == Answers.end() || it->second->What.Context.FromTeam != team)
+  // Request ids are not secret, so the answer is only returned to the team that
+  // made the request.
+  if (it == Answers.end() || it->second->CallRequest.Context.FromTeam != team)
     return nullptr;
   return it->second;
 }
--- a/Services/sorrelbayd/LiveAnswers.h
+++ b/Services/sorrelbayd/LiveAnswers.h
@@ -6,16 +6,16 @@
 
 namespace sorrelbay {
 
-/// The answers that are made here, and those that ended lately, by request.
-/// Thread-safe; the lock is a leaf.
+/// The answers that are generated here and those that ended recently, by
+/// request. Thread-safe; the lock is a leaf.
 class LiveAnswers {
 public:
   void add(const std::shared_ptr<LiveAnswer> &answer);
-  /// The answer of that request and team, or null.
+  /// Returns the answer to the team's request, or null.
   std::shared_ptr<LiveAnswer> find(const RequestId &request,
                                    const TeamId &team) const;
   std::vector<std::shared_ptr<LiveAnswer>> all() const;
-  /// Drops answers that ended before that time.
+  /// Removes answers that ended before the given time.
   void dropEndedBefore(Instant at);
 
 private:
--- a/Services/sorrelbayd/LiveDeskCall.cpp
+++ b/Services/sorrelbayd/LiveDeskCall.cpp
@@ -8,13 +8,13 @@
 LiveDeskCall::LiveDeskCall(DeskCallProtocol protocol, DeskCallHooks hooks)
     : Hooks(std::move(hooks)), Protocol(std::move(protocol)) {}
 
-void LiveDeskCall::work(const DeskCallActions &first) {
-  std::deque<DeskCallAction> waiting(first.begin(), first.end());
-  while (!waiting.empty()) {
-    const DeskCallAction action = std::move(waiting.front());
-    waiting.pop_front();
-    const DeskCallActions more = feed(perform(action));
-    waiting.insert(waiting.end(), more.begin(), more.end());
+void LiveDeskCall::performActions(const DeskCallActions &first) {
+  std::deque<DeskCallAction> pendingActions(first.begin(), first.end());
+  while (!pendingActions.empty()) {
+    const DeskCallAction action = std::move(pendingActions.front());
+    pendingActions.pop_front();
+    const DeskCallActions more = handleEvent(perform(action));
+    pendingActions.insert(pendingActions.end(), more.begin(), more.end());
   }
 }
 
@@ -22,14 +22,14 @@
   std::unique_lock<std::mutex> lock(Mutex);
   Changed.wait_until(lock, deadline, [this] { return Answer.has_value(); });
   lock.unlock();
-  feed([](DeskCallProtocol &it) { return it.onDeadline(); });
+  handleEvent([](DeskCallProtocol &it) { return it.onDeadline(); });
   lock.lock();
   return *Answer;
 }
 
-// Gives the protocol an event. Its answer is taken out here, under the lock,
-// so that no second one can follow.
-DeskCallActions LiveDeskCall::feed(const Event &event) {
+// Passes an event to the protocol. The answer is removed from the actions here,
+// under the lock, so that there is never a second one.
+DeskCallActions LiveDeskCall::handleEvent(const Event &event) {
   const std::lock_guard<std::mutex> lock(Mutex);
   DeskCallActions others;
   for (DeskCallAction &it : event(Protocol)) {
--- a/Services/sorrelbayd/LiveDeskCall.h
+++ b/Services/sorrelbayd/LiveDeskCall.h
@@ -9,47 +9,51 @@
 
 namespace sorrelbay {
 
-/// The owner of a ticket was not reached, or another process is at its address;
-/// it has not been given the call.
+/// The owner of a ticket was not reached, or another process has its address.
+/// The owner has not received the call.
 class OwnerNotReached : public Error {
 public:
   using Error::Error;
 };
 
-/// What a live call does to the world. All block and are called without a
-/// lock.
+/// The side effects of a live call. All hooks may block and are called without
+/// a lock held.
 struct DeskCallHooks {
   std::function<EditOutcome(const SubmitEdit &)> Apply;
-  /// Sends to the next replica. Throws DeskRejected if nothing ran, any other
-  /// Error if it may have.
+  /// Sends the call to the next replica. Throws DeskRejected if the call did
+  /// not run, and any other Error if it may have run.
   std::function<DeskAnswer()> Send;
-  /// Hands the call to the ticket's owner. Throws OwnerNotReached, any other
-  /// Error if the owner may have the call.
+  /// Forwards the call to the ticket's owner. Throws OwnerNotReached if the
+  /// owner has not received the call, and any other Error if it may have.
   std::function<DeskCallAnswer(const CallTicket &)> Forward;
 };
 
-/// One attempt at a non-repeatable call in this process. A worker carries out
-/// what the protocol asks for; the caller's thread waits for the answer no
-/// longer than the deadline and leaves the rest, such as recording a result,
-/// to the worker.
+/// One attempt at a non-repeatable call in this process. A worker performs the
+/// actions that the protocol returns. The caller's thread waits for the answer
+/// until the deadline at the latest; the worker does the rest, such as
+/// recording the result.
 ///
-/// Its lock guards the protocol and the answer, and is a leaf.
+/// The lock guards the protocol and the answer, and is a leaf.
 class LiveDeskCall {
 public:
   using Event = std::function<DeskCallActions(DeskCallProtocol &)>;
 
   LiveDeskCall(DeskCallProtocol protocol, DeskCallHooks hooks);
 
-  /// Gives the protocol its first event; what it asks for is left to work().
-  DeskCallActions begin(const Event &enter) { return feed(enter); }
-  /// Carries the actions out, and those that follow from them, to the end of
-  /// the call.
-  void work(const DeskCallActions &first);
-  /// The one answer, at the deadline at the latest.
+  /// Passes the first event to the protocol. Returns the resulting actions for
+  /// performActions().
+  DeskCallActions begin(const Event &firstEvent) {
+    return handleEvent(firstEvent);
+  }
+  /// Performs the actions and those that follow from them, until the call has
+  /// ended.
+  void performActions(const DeskCallActions &first);
+  /// Waits for the call's only answer and returns it, at the deadline at the
+  /// latest.
   DeskCallAnswer await(Instant deadline);
 
 private:
-  DeskCallActions feed(const Event &event);
+  DeskCallActions handleEvent(const Event &event);
   Event perform(const DeskCallAction &action);
   Event performSend();
   Event performForward();
--- a/Services/sorrelbayd/Metrics.cpp
+++ b/Services/sorrelbayd/Metrics.cpp
@@ -154,12 +154,12 @@
   All->Generation.Set(static_cast<double>(generation));
 }
 
-/// Raises the counter to a count that is kept elsewhere.
+/// Raises the counter to a count that another component maintains.
 static void raiseTo(Counter &counter, std::uint64_t count) {
   counter.Increment(static_cast<double>(count) - counter.Value());
 }
 
-void Metrics::showPeerLink(const MeshCounts &counts) {
+void Metrics::setPeerCounts(const MeshCounts &counts) {
   All->PeerLinks.Set(static_cast<double>(counts.LiveLinks));
   raiseTo(All->PeerWrongHellos, counts.HandshakeFailures);
   raiseTo(All->PeerRefusedBundles, counts.RefusedBundles);
--- a/Services/sorrelbayd/Metrics.h
+++ b/Services/sorrelbayd/Metrics.h
@@ -16,27 +16,31 @@
   Metrics(const Metrics &) = delete;
   Metrics &operator=(const Metrics &) = delete;
 
-  /// A call ended: by route and by result ("ok", "refused", "failed", ...).
+  /// Counts a call that has ended, by route and result, such as "ok", "refused"
+  /// or "failed".
   void countCall(const std::string &route, const std::string &result);
   void observeFirstToken(const std::string &route, Duration wait);
-  /// What the same wait was expected to be when the call was sent.
+  /// Records the wait for the first token that was expected when the call was
+  /// sent.
   void observeExpectedFirstToken(const std::string &route, Duration wait);
-  /// Replicas of a service, as the holder of the duties knows them: "needed" or
-  /// "seen".
+  /// Sets the number of a service's replicas in a state ("needed", "seen" or
+  /// "cold"), as known to the lease holder.
   void setReplicas(const std::string &service, const std::string &state,
                    int count);
   void countTokens(std::uint64_t tokens);
-  /// An attempt at an upstream ended: "ok", "refused", "failed" or "resumed".
+  /// Counts an attempt at an upstream that has ended as "ok", "refused",
+  /// "failed" or "resumed".
   void countAttempt(const std::string &service, const std::string &result);
-  /// An answer went on at another engine, which computes so many tokens again.
+  /// Counts an answer that continues at another engine, and the tokens that
+  /// this engine has to compute again.
   void countResume(std::uint64_t recomputedTokens);
-  /// Tokens and ends that were not taken, by cause.
+  /// Counts the tokens and ends from engines that were dropped, by cause.
   void countDropped(const std::string &cause, std::uint64_t n);
   void countObjectApi(const std::string &call, const std::string &result);
   void setOpenCalls(std::size_t n);
   void setBundleGeneration(std::uint64_t generation);
-  void showPeerLink(const MeshCounts &counts);
-  /// All metrics in Prometheus' text format.
+  void setPeerCounts(const MeshCounts &counts);
+  /// Renders all metrics in Prometheus' text format.
   std::string render() const;
 
 private:
--- a/Services/sorrelbayd/ModelCalls.cpp
+++ b/Services/sorrelbayd/ModelCalls.cpp
@@ -9,21 +9,23 @@
 
 namespace sorrelbay {
 
-/// Attempts that may fail one after the other without a token between them, and
-/// in all; what a recovery redirects is not counted. The recovery makes pauses.
-static constexpr int MaxFruitlessAttempts = 10;
+/// The maximum number of failed attempts in succession without a new token, and
+/// of failed attempts in total. Attempts that end by a redirect don't count.
+/// StreamRecovery sets the delay between attempts.
+static constexpr int MaxAttemptsWithoutToken = 10;
 static constexpr int MaxLostAttempts = 24;
-static constexpr Duration ComeBackSoon = milliseconds(500);
-/// How long an answer is made on for a caller whose connection broke.
+static constexpr Duration ShortRetryAfter = milliseconds(500);
+/// How long an answer continues without a reader after its caller's connection
+/// broke.
 static constexpr Duration ReconnectGrace = seconds(10);
 
 ModelCalls::ModelCalls(const DaemonSettings &settings, BundleStore &bundles,
-                       UpstreamTable &upstreams, RolloutTracker &moves,
+                       UpstreamTable &upstreams, RolloutTracker &tracker,
                        OpenCalls &open, Metrics &metrics, LiveAnswers &answers,
-                       StreamRecovery &recovery, CallAdmission &admitted)
-    : Settings(settings), Bundles(bundles), Upstreams(upstreams), Moves(moves),
-      Open(open), Counts(metrics), Answers(answers), Recovery(recovery),
-      Admitted(admitted) {}
+                       StreamRecovery &recovery, CallAdmission &admissions)
+    : Settings(settings), Bundles(bundles), Upstreams(upstreams),
+      Tracker(tracker), Open(open), Counts(metrics), Answers(answers),
+      Recovery(recovery), Admissions(admissions) {}
 
 static const Route *firstRouteOf(const Bundle &bundle,
                                  const ServiceId &service) {
@@ -34,112 +36,117 @@
 }
 
 AnswerRequest ModelCalls::prepare(const HttpRequest &request) const {
-  AnswerRequest work;
-  work.Arrival = now();
-  work.Context = parseCallContext(request, work.Arrival);
-  work.Call = parseModelCall(request.Body);
+  AnswerRequest prepared;
+  prepared.Arrival = now();
+  prepared.Context = parseCallContext(request, prepared.Arrival);
+  prepared.Call = parseModelCall(request.Body);
   const auto bundle = requireBundle(Bundles, Outcome::NotRun);
-  requireTeam(*bundle, work.Context.FromTeam, Outcome::NotRun);
-  const Service *service = findService(*bundle, work.Call.Model);
+  requireTeam(*bundle, prepared.Context.FromTeam, Outcome::NotRun);
+  const Service *service = findService(*bundle, prepared.Call.Model);
   if (service == nullptr || service->Kind != UpstreamKind::Engine)
-    throw Problem(404, "unknown-model", "no model " + work.Call.Model.text(),
-                  Outcome::NotRun);
-  const Route *route = work.Context.OnRoute.empty()
+    throw Problem(404, "unknown-model",
+                  "no model " + prepared.Call.Model.text(), Outcome::NotRun);
+  const Route *route = prepared.Context.OnRoute.empty()
                            ? firstRouteOf(*bundle, service->Id)
-                           : findRoute(*bundle, work.Context.OnRoute);
+                           : findRoute(*bundle, prepared.Context.OnRoute);
   if (route == nullptr || route->Service != service->Id)
     throw Problem(404, "unknown-route",
                   "X-Route names no route of this model: " +
-                      work.Context.OnRoute.text(),
+                      prepared.Context.OnRoute.text(),
                   Outcome::NotRun);
-  work.OnRoute = *route;
-  work.Id = RequestId("req-" + randomHex(24));
-  const std::string key =
-      work.Context.Key.empty() ? work.Id.text() : work.Context.Key.text();
-  work.Version =
-      Moves.choose(*bundle, service->Id, stableHash(key), route->Repeatable);
-  return work;
+  prepared.OnRoute = *route;
+  prepared.Id = RequestId("req-" + randomHex(24));
+  const std::string key = prepared.Context.Key.empty()
+                              ? prepared.Id.text()
+                              : prepared.Context.Key.text();
+  prepared.Version =
+      Tracker.choose(*bundle, service->Id, stableHash(key), route->Repeatable);
+  return prepared;
 }
 
-/// Waits for the call's turn.
-std::shared_ptr<CallAdmission::Place>
-ModelCalls::admit(const AnswerRequest &what) {
+/// Waits until the call is admitted.
+std::shared_ptr<CallAdmission::CallSlot>
+ModelCalls::admit(const AnswerRequest &callRequest) {
   constexpr double TokensOfCostOne = 1000;
   QueuedCall call;
-  call.OfTeam = what.Context.FromTeam;
-  call.Priority = what.OnRoute.Priority;
-  call.Cost = 1 + static_cast<double>(what.Call.PromptTokens) / TokensOfCostOne;
-  call.Deadline = what.Context.Deadline;
+  call.OfTeam = callRequest.Context.FromTeam;
+  call.Priority = callRequest.OnRoute.Priority;
+  call.Cost =
+      1 + static_cast<double>(callRequest.Call.PromptTokens) / TokensOfCostOne;
+  call.Deadline = callRequest.Context.Deadline;
   try {
-    return Admitted.enter(what.Call.Model, call);
+    return Admissions.acquireSlot(callRequest.Call.Model, call);
   } catch (const AdmissionRefused &error) {
-    Counts.countCall(what.OnRoute.Id.text(), "refused");
+    Counts.countCall(callRequest.OnRoute.Id.text(), "refused");
     throw Problem(503, "overloaded", error.what(), Outcome::NotRun,
                   error.retryAfter());
   }
 }
 
 HttpResponse ModelCalls::answer(const HttpRequest &request) {
-  const AnswerRequest what = prepare(request);
-  if (!Recovery.mayAdmit(what.Version))
+  const AnswerRequest callRequest = prepare(request);
+  if (!Recovery.mayAdmit(callRequest.Version))
     throw Problem(503, "overloaded", "accepted answers wait for room",
-                  Outcome::NotRun, ComeBackSoon);
+                  Outcome::NotRun, ShortRetryAfter);
   if (!Open.tryBegin())
     throw Problem(503, "overloaded", "every place for calls is taken",
-                  Outcome::NotRun, ComeBackSoon);
+                  Outcome::NotRun, ShortRetryAfter);
   auto open = std::make_shared<OpenCallGuard>(Open);
-  const auto place = admit(what);
-  const auto answer = std::make_shared<LiveAnswer>(what, AnswerStream(what.Id));
+  const auto callSlot = admit(callRequest);
+  const auto answer =
+      std::make_shared<LiveAnswer>(callRequest, AnswerStream(callRequest.Id));
   Answers.add(answer);
-  if (what.Call.WantsStream)
-    return streamed(answer, open, place);
-  return whole(*answer, *place);
+  if (callRequest.Call.WantsStream)
+    return streamAnswer(answer, open, callSlot);
+  return collectAnswer(*answer, *callSlot);
 }
 
-HttpResponse ModelCalls::whole(LiveAnswer &answer,
-                               CallAdmission::Place &place) {
-  make(answer, UpstreamId(), [&place] { place.begin(); });
+HttpResponse ModelCalls::collectAnswer(LiveAnswer &answer,
+                                       CallAdmission::CallSlot &callSlot) {
+  generateAnswer(answer, UpstreamId(), [&callSlot] { callSlot.begin(); });
   if (const auto failure = answer.failure())
     throw Problem(*failure);
   std::string text;
   for (const std::string &it : answer.tokens())
     text += it;
   HttpResponse out;
-  out.Body = renderCompletion(answer.What.Id.text(), answer.What.Call,
-                              answer.tokenCount(), text, answer.finishReason());
+  out.Body =
+      renderCompletion(answer.CallRequest.Id.text(), answer.CallRequest.Call,
+                       answer.tokenCount(), text, answer.finishReason());
   return out;
 }
 
 static HttpResponse eventStream(const LiveAnswer &answer) {
   HttpResponse out;
   out.ContentType = "text/event-stream";
-  out.Headers.push_back({"X-Request-Id", answer.What.Id.text()});
+  out.Headers.push_back({"X-Request-Id", answer.CallRequest.Id.text()});
   return out;
 }
 
 static LiveAnswer::Sink eventSink(const LiveAnswer &answer,
                                   const HttpSink &sink) {
   return [&answer, &sink](const AnswerEvent &event) {
-    const AnswerRequest &what = answer.What;
+    const AnswerRequest &callRequest = answer.CallRequest;
     if (event.IsEnd)
-      return sink(renderEndEvent(what.Id.text(), what.Call, event.Id,
-                                 answer.finishReason()));
-    return sink(
-        renderTokenEvent(what.Id.text(), what.Call, event.Id, event.Text));
+      return sink(renderEndEvent(callRequest.Id.text(), callRequest.Call,
+                                 event.Id, answer.finishReason()));
+    return sink(renderTokenEvent(callRequest.Id.text(), callRequest.Call,
+                                 event.Id, event.Text));
   };
 }
 
-HttpResponse
-ModelCalls::streamed(const std::shared_ptr<LiveAnswer> &answer,
-                     const std::shared_ptr<OpenCallGuard> &open,
-                     const std::shared_ptr<CallAdmission::Place> &place) {
+HttpResponse ModelCalls::streamAnswer(
+    const std::shared_ptr<LiveAnswer> &answer,
+    const std::shared_ptr<OpenCallGuard> &open,
+    const std::shared_ptr<CallAdmission::CallSlot> &callSlot) {
   HttpResponse out = eventStream(*answer);
   const std::uint64_t reader = answer->beginReading(std::nullopt);
-  // Both places are given back with the stream, also if it is never begun.
-  out.Stream = [this, answer, reader, open, place](const HttpSink &sink) {
+  // The stream owns the call slot and the open call, so that both are released
+  // even if the stream is never started.
+  out.Stream = [this, answer, reader, open, callSlot](const HttpSink &sink) {
     const LiveAnswer::Sink events = eventSink(*answer, sink);
-    make(*answer, UpstreamId(), [&] {
-      place->begin();
+    generateAnswer(*answer, UpstreamId(), [&] {
+      callSlot->begin();
       answer->drain(reader, events);
     });
     return relay(*answer, reader, sink);
@@ -152,7 +159,7 @@
   const auto lastEventId = parseLastEventId(request);
   const auto answer =
       Answers.find(RequestId(request.Parts.at(0)), context.FromTeam);
-  if (!answer || !answer->What.Call.WantsStream)
+  if (!answer || !answer->CallRequest.Call.WantsStream)
     throw Problem(404, "unknown-request",
                   "no such answer is open here, or it ended too long ago",
                   Outcome::Unknown);
@@ -162,16 +169,17 @@
   } catch (const UnknownEventId &error) {
     throw Problem(400, "bad-request", error.what(), Outcome::Unknown);
   }
-  Open.beginAgain();
+  Open.beginReconnect();
   HttpResponse out = eventStream(*answer);
   out.Stream = [this, answer, reader](const HttpSink &sink) {
-    const OpenCallGuard place(Open);
+    const OpenCallGuard openCall(Open);
     return relay(*answer, reader, sink);
   };
   return out;
 }
 
-/// Gives the reader the rest. False if the caller hasn't got the whole.
+/// Sends the rest of the answer to the reader. Returns false if the caller has
+/// not received the whole answer.
 bool ModelCalls::relay(LiveAnswer &answer, std::uint64_t reader,
                        const HttpSink &sink) {
   switch (answer.read(reader, eventSink(answer, sink))) {
@@ -181,23 +189,23 @@
     return sink("event: error\ndata: " + renderProblem(*answer.failure()).Body +
                 "\n");
   case ReaderEnd::Moved:
-    return sink("event: moved\ndata: " + answer.movedTo() + "\n\n");
-  case ReaderEnd::Gone:
+    return sink("event: moved\ndata: " + answer.handoverNotice() + "\n\n");
+  case ReaderEnd::Disconnected:
     break;
   }
   return false;
 }
 
-void ModelCalls::adopt(LiveAnswer &answer, const UpstreamId &lastAt) {
-  const OpenCallGuard place(Open);
-  make(answer, lastAt, [] {});
+void ModelCalls::adopt(LiveAnswer &answer, const UpstreamId &lastUpstream) {
+  const OpenCallGuard openCall(Open);
+  generateAnswer(answer, lastUpstream, [] {});
 }
 
-void ModelCalls::make(LiveAnswer &answer, const UpstreamId &first,
-                      const OnProgress &onProgress) {
-  const AnswerRequest &what = answer.What;
-  const Span span("model call", what.Context.Trace);
-  const AttemptEnd end = makeAttempts(answer, first, onProgress);
+void ModelCalls::generateAnswer(LiveAnswer &answer, const UpstreamId &first,
+                                const OnProgress &onProgress) {
+  const AnswerRequest &callRequest = answer.CallRequest;
+  const Span span("model call", callRequest.Context.Trace);
+  const AttemptEnd end = runAttempts(answer, first, onProgress);
   Recovery.end(answer);
   const DroppedCount dropped = answer.dropped();
   Counts.countDropped("late", dropped.Late);
@@ -205,58 +213,59 @@
   Counts.countDropped("duplicated", dropped.Duplicated);
   Counts.countDropped("gap", dropped.Gaps);
   Counts.countDropped("truncated", dropped.TruncatedEnds);
-  const char *result = end == AttemptEnd::Whole        ? "ok"
-                       : end == AttemptEnd::CallerGone ? "caller_gone"
-                       : end == AttemptEnd::Moved      ? "moved"
-                                                       : "failed";
-  Counts.countCall(what.OnRoute.Id.text(), result);
+  const char *result = end == AttemptEnd::Whole                ? "ok"
+                       : end == AttemptEnd::CallerDisconnected ? "caller_gone"
+                       : end == AttemptEnd::Moved              ? "moved"
+                                                               : "failed";
+  Counts.countCall(callRequest.OnRoute.Id.text(), result);
   if (end != AttemptEnd::Whole && end != AttemptEnd::Moved)
     answer.fail(std::make_shared<const Problem>(
         503, "no-upstream", "no engine could complete the answer",
-        Outcome::Unknown, ComeBackSoon));
+        Outcome::Unknown, ShortRetryAfter));
 }
 
 PlacementRequest ModelCalls::placementOf(const LiveAnswer &answer) const {
   PlacementRequest placement;
-  placement.ForService = answer.What.Call.Model;
-  placement.AllowedVersion = answer.What.Version;
-  placement.Tried = Moves.unpackedReplicas(answer.What.Version);
+  placement.ForService = answer.CallRequest.Call.Model;
+  placement.AllowedVersion = answer.CallRequest.Version;
+  placement.Tried = Tracker.excludedReplicas(answer.CallRequest.Version);
   placement.PromptTokens = static_cast<std::int64_t>(
-      answer.What.Call.PromptTokens + answer.tokenCount());
+      answer.CallRequest.Call.PromptTokens + answer.tokenCount());
   placement.Conversation =
-      ConversationKey(answer.What.Context.FromTeam.text() + "/" +
-                      std::to_string(answer.What.Call.ConversationHash));
-  placement.Seed = stableHash(answer.What.Id.text());
+      ConversationKey(answer.CallRequest.Context.FromTeam.text() + "/" +
+                      std::to_string(answer.CallRequest.Call.ConversationHash));
+  placement.Seed = stableHash(answer.CallRequest.Id.text());
   return placement;
 }
 
-ModelCalls::AttemptEnd ModelCalls::makeAttempts(LiveAnswer &answer,
-                                                const UpstreamId &first,
-                                                const OnProgress &onProgress) {
+ModelCalls::AttemptEnd ModelCalls::runAttempts(LiveAnswer &answer,
+                                               const UpstreamId &first,
+                                               const OnProgress &onProgress) {
   const PlacementRequest placement = placementOf(answer);
   const UpstreamId begin = firstTarget(answer, first);
   if (begin.empty())
     return AttemptEnd::Lost;
   Recovery.begin(answer, begin);
   std::optional<Redirect> target = Redirect{begin, ""};
-  int fruitless = 0;
-  for (int lost = 0; target && lost < MaxLostAttempts;) {
+  int attemptsWithoutToken = 0;
+  for (int lostAttempts = 0; target && lostAttempts < MaxLostAttempts;) {
     const std::uint64_t before = answer.tokenCount();
     const AttemptEnd end = attempt(answer, *target, onProgress);
     Upstreams.finish(target->To, placement.Conversation,
                      placementOf(answer).PromptTokens, now());
-    if (!answer.movedTo().empty())
+    if (!answer.handoverNotice().empty())
       return AttemptEnd::Moved;
-    if (end == AttemptEnd::Whole || end == AttemptEnd::CallerGone)
+    if (end == AttemptEnd::Whole || end == AttemptEnd::CallerDisconnected)
       return end;
     if (end == AttemptEnd::Lost) {
-      ++lost;
-      fruitless = answer.tokenCount() > before ? 0 : fruitless + 1;
+      ++lostAttempts;
+      attemptsWithoutToken =
+          answer.tokenCount() > before ? 0 : attemptsWithoutToken + 1;
     }
-    if (fruitless >= MaxFruitlessAttempts)
+    if (attemptsWithoutToken >= MaxAttemptsWithoutToken)
       break;
     target = nextTarget(answer);
-    if (!answer.movedTo().empty())
+    if (!answer.handoverNotice().empty())
       return AttemptEnd::Moved;
     if (target)
       Upstreams.beginAt(target->To, placementOf(answer), now());
@@ -264,8 +273,8 @@
   return AttemptEnd::Lost;
 }
 
-/// The engine that is wanted, if it stays; else the one that is placed. Empty
-/// if there is none.
+/// Returns the wanted engine unless it is leaving, otherwise the engine that
+/// the placement chooses. Empty if there is none.
 UpstreamId ModelCalls::firstTarget(const LiveAnswer &answer,
                                    const UpstreamId &wanted) {
   const PlacementRequest placement = placementOf(answer);
@@ -276,24 +285,26 @@
   return Upstreams.begin(placement, now()).Upstream.value_or(UpstreamId());
 }
 
-/// An answer that has begun is worth waiting for as long as its caller does;
-/// before the first token, only while that can still come in time.
+/// Waits for a redirect: after the first token until the caller's deadline,
+/// before it only while the first token can still meet the latency target.
 std::optional<Redirect> ModelCalls::nextTarget(LiveAnswer &answer) {
-  const AnswerRequest &what = answer.What;
+  const AnswerRequest &callRequest = answer.CallRequest;
   const bool hasBegun = answer.tokenCount() > 0;
   return answer.takeRedirect(
-      hasBegun ? what.Context.Deadline
-               : std::min(what.Context.Deadline,
-                          what.Arrival + what.OnRoute.LatencyTarget));
+      hasBegun
+          ? callRequest.Context.Deadline
+          : std::min(callRequest.Context.Deadline,
+                     callRequest.Arrival + callRequest.OnRoute.LatencyTarget));
 }
 
-/// An attempt's id names its request, so that tokens that come to the wrong
-/// stream are known by it.
+/// The attempt's id contains the request's id, so that tokens that arrive on
+/// the wrong stream are detected.
 static std::string attemptId(const RequestId &request, AnswerAttempt n) {
   return request.text() + "." + std::to_string(n);
 }
 
-/// The inverse of attemptId; what isn't one is an attempt that never was.
+/// The inverse of attemptId(). A malformed id yields an attempt number that was
+/// never used.
 static ArrivedToken arrivedToken(const EngineToken &token) {
   const std::size_t dot = token.AttemptId.rfind('.');
   ArrivedToken arrived;
@@ -308,15 +319,15 @@
 
 static EngineRequest engineRequest(const LiveAnswer &answer,
                                    const Redirect &target, AnswerAttempt n) {
-  const AnswerRequest &what = answer.What;
+  const AnswerRequest &callRequest = answer.CallRequest;
   EngineRequest request;
-  request.RequestId = what.Id.text();
-  request.AttemptId = attemptId(what.Id, n);
-  request.Model = what.Call.Model;
-  request.OnRoute = what.OnRoute.Id;
-  request.MessagesJson = what.Call.MessagesJson;
-  request.MaxTokens = what.Call.MaxTokens;
-  request.Priority = what.OnRoute.Priority;
+  request.RequestId = callRequest.Id.text();
+  request.AttemptId = attemptId(callRequest.Id, n);
+  request.Model = callRequest.Call.Model;
+  request.OnRoute = callRequest.OnRoute.Id;
+  request.MessagesJson = callRequest.Call.MessagesJson;
+  request.MaxTokens = callRequest.Call.MaxTokens;
+  request.Priority = callRequest.OnRoute.Priority;
   request.Prefix = answer.tokens();
   request.CacheHandle = target.CacheHandle;
   return request;
@@ -325,8 +336,8 @@
 ModelCalls::AttemptEnd ModelCalls::attempt(LiveAnswer &answer,
                                            const Redirect &target,
                                            const OnProgress &onProgress) {
-  const AnswerRequest &what = answer.What;
-  Span span("engine attempt", what.Context.Trace);
+  const AnswerRequest &callRequest = answer.CallRequest;
+  Span span("engine attempt", callRequest.Context.Trace);
   span.setAttribute("upstream", target.To.text());
   EngineRequest request =
       engineRequest(answer, target, answer.beginAttempt(target.To));
@@ -338,11 +349,11 @@
   const char *label = "failed";
   try {
     std::unique_ptr<EngineEnd> end;
-    if (answer.attach([&stream] { stream.cancel(); })) {
+    if (answer.setCancelHook([&stream] { stream.cancel(); })) {
       end = stream.run([&](const EngineToken &token) {
-        return take(answer, token, onProgress);
+        return takeToken(answer, token, onProgress);
       });
-      result = end ? AttemptEnd::Whole : AttemptEnd::CallerGone;
+      result = end ? AttemptEnd::Whole : AttemptEnd::CallerDisconnected;
     }
     const bool isRedirected = answer.isRedirected();
     if (end) {
@@ -353,9 +364,9 @@
         throw EngineFailed("the answer isn't as long as its end says");
       label = "ok";
       Counts.countTokens(answer.tokenCount());
-      Moves.record({what.Version, what.OnRoute.Id},
-                   answer.wasLate() ? UpstreamOutcome::Late
-                                    : UpstreamOutcome::Good);
+      Tracker.record({callRequest.Version, callRequest.OnRoute.Id},
+                     answer.wasLate() ? UpstreamOutcome::Late
+                                      : UpstreamOutcome::Good);
     } else if (isRedirected) {
       result = AttemptEnd::Redirected;
       label = "resumed";
@@ -375,15 +386,15 @@
     noteFailure(answer, target.To);
   }
   answer.endAttempt();
-  Counts.countAttempt(what.Call.Model.text(), label);
+  Counts.countAttempt(callRequest.Call.Model.text(), label);
   if (result == AttemptEnd::Lost)
     Recovery.lost(answer, target.To, loss);
   return result;
 }
 
-/// Takes a token as it comes; false ends the attempt.
-bool ModelCalls::take(LiveAnswer &answer, const EngineToken &token,
-                      const OnProgress &onProgress) {
+/// Handles the next token. Returns false to end the attempt.
+bool ModelCalls::takeToken(LiveAnswer &answer, const EngineToken &token,
+                           const OnProgress &onProgress) {
   switch (answer.take(arrivedToken(token))) {
   case TokenVerdict::Taken:
     break;
@@ -398,22 +409,22 @@
       noteFirstToken(answer);
   }
   onProgress();
-  const bool hasCaller =
-      !answer.What.Call.WantsStream || answer.unreadFor(now()) < ReconnectGrace;
+  const bool hasCaller = !answer.CallRequest.Call.WantsStream ||
+                         answer.unreadFor(now()) < ReconnectGrace;
   return hasCaller && !answer.isRedirected();
 }
 
 void ModelCalls::noteFirstToken(const LiveAnswer &answer) {
-  Counts.observeFirstToken(answer.What.OnRoute.Id.text(),
-                           now() - answer.What.Arrival);
+  Counts.observeFirstToken(answer.CallRequest.OnRoute.Id.text(),
+                           now() - answer.CallRequest.Arrival);
 }
 
-/// A failure speaks against the version, unless the engine is on its way out.
+/// Records a failure of the version, unless the engine is leaving.
 void ModelCalls::noteFailure(const LiveAnswer &answer,
                              const UpstreamId &upstream) {
   if (!Upstreams.isLeaving(upstream))
-    Moves.record({answer.What.Version, answer.What.OnRoute.Id},
-                 UpstreamOutcome::Failed);
+    Tracker.record({answer.CallRequest.Version, answer.CallRequest.OnRoute.Id},
+                   UpstreamOutcome::Failed);
 }
 
 } // namespace sorrelbay
--- a/Services/sorrelbayd/ModelCalls.h
+++ b/Services/sorrelbayd/ModelCalls.h
@@ -17,62 +17,65 @@
 
 namespace sorrelbay {
 
-/// Answers model calls: chooses version and engine, relays the tokens, and
-/// goes on at another engine when one breaks.
+/// Answers model calls: chooses a version and an engine, relays the tokens, and
+/// continues at another engine if one fails.
 class ModelCalls {
 public:
   ModelCalls(const DaemonSettings &settings, BundleStore &bundles,
-             UpstreamTable &upstreams, RolloutTracker &moves, OpenCalls &open,
+             UpstreamTable &upstreams, RolloutTracker &tracker, OpenCalls &open,
              Metrics &metrics, LiveAnswers &answers, StreamRecovery &recovery,
-             CallAdmission &admitted);
+             CallAdmission &admissions);
 
-  /// The answer to `POST /v1/chat/completions`. Throws Problem.
+  /// Handles `POST /v1/chat/completions`. Throws Problem.
   HttpResponse answer(const HttpRequest &request);
-  /// The answer to `GET /v1/chat/completions/{id}`: the events after the one
-  /// that `Last-Event-ID` names, of an answer whose caller lost its connection.
+  /// Handles `GET /v1/chat/completions/{id}`, by which a caller that lost its
+  /// connection gets the events after the one that `Last-Event-ID` names.
   /// Throws Problem.
   HttpResponse reconnect(const HttpRequest &request);
-  /// Makes the rest of a peer's answer, on this thread; its caller is expected
-  /// to reconnect here.
-  void adopt(LiveAnswer &answer, const UpstreamId &lastAt);
+  /// Generates the rest of a peer's answer on this thread. The caller is
+  /// expected to reconnect here.
+  void adopt(LiveAnswer &answer, const UpstreamId &lastUpstream);
 
 private:
-  /// Called after each token, on the thread that makes the answer.
+  /// Called after each token, on the thread that generates the answer.
   using OnProgress = std::function<void()>;
-  enum class AttemptEnd { Whole, Lost, Redirected, CallerGone, Moved };
+  enum class AttemptEnd { Whole, Lost, Redirected, CallerDisconnected, Moved };
 
   AnswerRequest prepare(const HttpRequest &request) const;
-  std::shared_ptr<CallAdmission::Place> admit(const AnswerRequest &what);
-  HttpResponse streamed(const std::shared_ptr<LiveAnswer> &answer,
-                        const std::shared_ptr<OpenCallGuard> &open,
-                        const std::shared_ptr<CallAdmission::Place> &place);
-  HttpResponse whole(LiveAnswer &answer, CallAdmission::Place &place);
+  std::shared_ptr<CallAdmission::CallSlot>
+  admit(const AnswerRequest &callRequest);
+  HttpResponse
+  streamAnswer(const std::shared_ptr<LiveAnswer> &answer,
+               const std::shared_ptr<OpenCallGuard> &open,
+               const std::shared_ptr<CallAdmission::CallSlot> &callSlot);
+  HttpResponse collectAnswer(LiveAnswer &answer,
+                             CallAdmission::CallSlot &callSlot);
   bool relay(LiveAnswer &answer, std::uint64_t reader, const HttpSink &sink);
 
   /// Runs attempts until the answer has ended or failed.
-  void make(LiveAnswer &answer, const UpstreamId &first,
-            const OnProgress &onProgress);
-  AttemptEnd makeAttempts(LiveAnswer &answer, const UpstreamId &first,
-                          const OnProgress &onProgress);
+  void generateAnswer(LiveAnswer &answer, const UpstreamId &first,
+                      const OnProgress &onProgress);
+  AttemptEnd runAttempts(LiveAnswer &answer, const UpstreamId &first,
+                         const OnProgress &onProgress);
   UpstreamId firstTarget(const LiveAnswer &answer, const UpstreamId &wanted);
   PlacementRequest placementOf(const LiveAnswer &answer) const;
   std::optional<Redirect> nextTarget(LiveAnswer &answer);
   AttemptEnd attempt(LiveAnswer &answer, const Redirect &target,
                      const OnProgress &onProgress);
-  bool take(LiveAnswer &answer, const EngineToken &token,
-            const OnProgress &onProgress);
+  bool takeToken(LiveAnswer &answer, const EngineToken &token,
+                 const OnProgress &onProgress);
   void noteFirstToken(const LiveAnswer &answer);
   void noteFailure(const LiveAnswer &answer, const UpstreamId &upstream);
 
   const DaemonSettings &Settings;
   BundleStore &Bundles;
   UpstreamTable &Upstreams;
-  RolloutTracker &Moves;
+  RolloutTracker &Tracker;
   OpenCalls &Open;
   Metrics &Counts;
   LiveAnswers &Answers;
   StreamRecovery &Recovery;
-  CallAdmission &Admitted;
+  CallAdmission &Admissions;
 };
 
 } // namespace sorrelbay
--- a/Services/sorrelbayd/OpenCalls.cpp
+++ b/Services/sorrelbayd/OpenCalls.cpp
@@ -11,7 +11,7 @@
   return true;
 }
 
-void OpenCalls::beginAgain() {
+void OpenCalls::beginReconnect() {
   const std::lock_guard<std::mutex> lock(Mutex);
   ++Count;
 }
--- a/Services/sorrelbayd/OpenCalls.h
+++ b/Services/sorrelbayd/OpenCalls.h
@@ -6,23 +6,25 @@
 
 namespace sorrelbay {
 
-/// How many calls are in flight. A planned stop waits until none is, so that
-/// no request is cut off. Thread-safe; its lock is a leaf.
+/// Counts and limits the calls in flight. A planned stop waits until there are
+/// none, so that no request is aborted. Thread-safe; the lock is a leaf.
 class OpenCalls {
 public:
   explicit OpenCalls(std::size_t limit) : Limit(limit) {}
 
-  /// Takes a place; false when all are taken or the daemon is stopping.
+  /// Counts a new call as in flight. Returns false without counting it if the
+  /// limit is reached or the daemon is stopping.
   bool tryBegin();
-  /// Takes a place for a caller that comes back for an answer that is open:
-  /// also while the daemon is stopping, and beyond the limit.
-  void beginAgain();
+  /// Counts a caller that reconnects to an open answer, also while the daemon
+  /// is stopping and beyond the limit.
+  void beginReconnect();
   void end();
-  /// From here on nothing new is taken.
+  /// Refuses all new calls from here on.
   void beginStop();
   bool isStopping() const;
   std::size_t count() const;
-  /// Waits until no call is in flight or the time is over; true if none is.
+  /// Waits until no call is in flight, or for the wait limit. Returns whether
+  /// none is.
   template <typename WaitLimit> bool waitForNone(WaitLimit waitLimit) {
     std::unique_lock<std::mutex> lock(Mutex);
     return Changed.wait_for(lock, waitLimit, [this] { return Count == 0; });
@@ -36,7 +38,7 @@
   bool IsStopping = false;
 };
 
-/// Gives the place back when the call is over, however it ends.
+/// Counts the call as ended on destruction.
 class OpenCallGuard {
 public:
   explicit OpenCallGuard(OpenCalls &calls) : Calls(&calls) {}
--- a/Services/sorrelbayd/PeerMessaging.cpp
+++ b/Services/sorrelbayd/PeerMessaging.cpp
@@ -6,7 +6,8 @@
 
 namespace sorrelbay {
 
-/// Requests of peers that run at once; more wait.
+/// The maximum number of peers' requests that run concurrently; further ones
+/// wait.
 static constexpr std::size_t MaxRequestWorkers = 32;
 
 static IncarnationId newIncarnation(const HostId &host) {
@@ -21,8 +22,9 @@
 
 PeerMessaging::~PeerMessaging() { stop(); }
 
-void PeerMessaging::serve(const std::string &kind, Service service) {
-  Services[kind] = std::move(service);
+void PeerMessaging::registerHandler(const std::string &kind,
+                                    RequestHandler requestHandler) {
+  RequestHandlers[kind] = std::move(requestHandler);
 }
 
 void PeerMessaging::onBundle(std::function<void()> hook) {
@@ -53,7 +55,7 @@
 
 MeshHooks PeerMessaging::hooks() {
   MeshHooks out;
-  out.AcceptBundle = [this](const BundleMark &it) { return takeBundle(it); };
+  out.AcceptBundle = [this](const BundleMark &it) { return acceptBundle(it); };
   out.OnKnowledge = [this](const PeerKnowledge &it) {
     if (OnKnowledge)
       OnKnowledge(it);
@@ -64,8 +66,9 @@
   };
   out.OnRequest = [this](const HostId &from, const PeerRequest &request,
                          const PeerRespond &respond) {
-    Workers.enqueue(
-        [this, from, request, respond] { answer(from, request, respond); });
+    Workers.enqueue([this, from, request, respond] {
+      handleRequest(from, request, respond);
+    });
   };
   return out;
 }
@@ -78,14 +81,14 @@
 }
 
 void PeerMessaging::stop() {
-  // The mesh first, so that it brings no more work; answers to what still runs
-  // are dropped.
+  // The mesh is stopped first, so that no more requests arrive. Replies of
+  // handlers that are still running are dropped.
   if (Mesh)
     Mesh->stop();
   Workers.shutdown();
 }
 
-bool PeerMessaging::takeBundle(const BundleMark &mark) {
+bool PeerMessaging::acceptBundle(const BundleMark &mark) {
   try {
     if (Bundles.offer(mark)) {
       Counts.setBundleGeneration(mark.Generation);
@@ -104,15 +107,16 @@
   }
 }
 
-void PeerMessaging::answer(const HostId &from, const PeerRequest &request,
-                           const PeerRespond &respond) {
-  const auto service = Services.find(request.Kind);
-  if (service == Services.end()) {
+void PeerMessaging::handleRequest(const HostId &from,
+                                  const PeerRequest &request,
+                                  const PeerRespond &respond) {
+  const auto requestHandler = RequestHandlers.find(request.Kind);
+  if (requestHandler == RequestHandlers.end()) {
     respond({request.Number, false, "no such service"});
     return;
   }
   try {
-    respond({request.Number, true, service->second(from, request.Body)});
+    respond({request.Number, true, requestHandler->second(from, request.Body)});
   } catch (const Error &error) {
     respond({request.Number, false, error.what()});
   }
@@ -129,27 +133,27 @@
 }
 
 void PeerMessaging::publishBundle() {
-  PeerKnowledge news;
-  news.Bundle = Bundles.mark();
-  Mesh->publish(news);
+  PeerKnowledge ownUpdate;
+  ownUpdate.Bundle = Bundles.mark();
+  Mesh->publish(ownUpdate);
 }
 
 void PeerMessaging::publishLeaving(const std::vector<LeavingNotice> &notices) {
-  PeerKnowledge news;
+  PeerKnowledge ownUpdate;
   for (const LeavingNotice &it : notices)
-    news.Leaving[it.Upstream] = it.GoneAt;
-  Mesh->publish(news);
+    ownUpdate.Leaving[it.Upstream] = it.GoneAt;
+  Mesh->publish(ownUpdate);
 }
 
 void PeerMessaging::publishRollout(const RolloutKnowledge &known) {
-  PeerKnowledge news;
-  news.Rollout = known;
-  Mesh->publish(news);
+  PeerKnowledge ownUpdate;
+  ownUpdate.Rollout = known;
+  Mesh->publish(ownUpdate);
 }
 
-void PeerMessaging::refresh(bool isLeaving) {
+void PeerMessaging::publishState(bool isLeaving) {
   Mesh->report(isLeaving, {});
-  Counts.showPeerLink(Mesh->counts());
+  Counts.setPeerCounts(Mesh->counts());
 }
 
 } // namespace sorrelbay
--- a/Services/sorrelbayd/PeerMessaging.h
+++ b/Services/sorrelbayd/PeerMessaging.h
@@ -14,26 +14,26 @@
 
 namespace sorrelbay {
 
-/// The daemon's link to its peers: passes bundles on in both directions and
-/// runs what peers ask for. Thread-safe from start() on; takes no lock of its
-/// own, so it adds nothing to the lock order.
+/// The daemon's messaging with its peers: exchanges bundles and other knowledge
+/// and runs the peers' requests. Thread-safe from start() on. It has no lock of
+/// its own and adds nothing to the lock order.
 class PeerMessaging {
 public:
   PeerMessaging(const DaemonSettings &settings, BundleStore &bundles,
                 Metrics &metrics);
   ~PeerMessaging();
 
-  /// Gives the answer to a peer's request; may block. What it throws as an
-  /// Error is told to the peer, which sees PeerDeclined.
-  using Service =
+  /// Handles a peer's request and returns the reply; may block. If it throws an
+  /// Error, the message is sent to the peer, which throws PeerDeclined.
+  using RequestHandler =
       std::function<std::string(const HostId &from, const std::string &body)>;
-  /// Adds what peers may ask for by that name. Before start() only.
-  void serve(const std::string &kind, Service service);
+  /// Registers the handler of a kind of request. Before start() only.
+  void registerHandler(const std::string &kind, RequestHandler requestHandler);
 
-  /// What is done when a peer's bundle has come into force, with other news of
-  /// peers, and when a peer has
-  /// confirmed that all it knew at a time is known here. Called on the mesh's
-  /// thread, must not block. Before start() only.
+  /// Set the hooks that are called when a peer's bundle has come into force,
+  /// for other knowledge that a peer sends, and when a peer has confirmed that
+  /// all it knew at a time is known here. The hooks are called on the mesh's
+  /// thread and must not block. Before start() only.
   void onBundle(std::function<void()> hook);
   void onKnowledge(std::function<void(const PeerKnowledge &)> hook);
   void onFresh(std::function<void(const HostId &, Instant)> hook);
@@ -42,36 +42,36 @@
   void start(const std::string &callerAddress);
   void stop();
 
-  /// This life of the daemon; differs from every other.
+  /// The id of this process, which differs from that of every other process.
   const IncarnationId &incarnation() const { return Incarnation; }
   PeerMesh &mesh() { return *Mesh; }
 
-  /// What the other daemons say of themselves; empty before start().
+  /// The states that the other daemons report; empty before start().
   std::vector<PeerView> peers() const;
   bool hasLivePeer() const;
 
-  /// Tells peers the bundle in force.
+  /// Publishes the bundle in force to peers.
   void publishBundle();
-  /// Tells peers which upstreams leave, and when.
+  /// Publishes which upstreams are leaving, and when.
   void publishLeaving(const std::vector<LeavingNotice> &notices);
-  /// Tells peers what this daemon knows of moves.
+  /// Publishes this daemon's knowledge of rollouts.
   void publishRollout(const RolloutKnowledge &known);
-  /// Tells peers whether this daemon still takes calls, and shows the link's
-  /// counts in the metrics.
-  void refresh(bool isLeaving);
+  /// Publishes whether this daemon still accepts calls, and updates the metrics
+  /// of the peer connections.
+  void publishState(bool isLeaving);
 
 private:
   MeshSettings meshSettings(const std::string &callerAddress) const;
   MeshHooks hooks();
-  bool takeBundle(const BundleMark &mark);
-  void answer(const HostId &from, const PeerRequest &request,
-              const PeerRespond &respond);
+  bool acceptBundle(const BundleMark &mark);
+  void handleRequest(const HostId &from, const PeerRequest &request,
+                     const PeerRespond &respond);
 
   const DaemonSettings &Settings;
   BundleStore &Bundles;
   Metrics &Counts;
   IncarnationId Incarnation;
-  std::map<std::string, Service> Services;
+  std::map<std::string, RequestHandler> RequestHandlers;
   std::function<void()> OnBundle;
   std::function<void(const PeerKnowledge &)> OnKnowledge;
   std::function<void(const HostId &, Instant)> OnFresh;
--- a/Services/sorrelbayd/RolloutExchange.cpp
+++ b/Services/sorrelbayd/RolloutExchange.cpp
@@ -4,40 +4,40 @@
 
 namespace sorrelbay {
 
-/// The objects' common prefix; the host's id follows.
+/// The common prefix of the objects' names; the host's id follows.
 static constexpr const char *RolloutPrefix = "rollout/";
 
 RolloutExchange::RolloutExchange(ObjectApi objects, HostId self,
-                                 RolloutTracker &moves)
-    : Objects(std::move(objects)), Self(std::move(self)), Moves(moves) {}
+                                 RolloutTracker &tracker)
+    : Objects(std::move(objects)), Self(std::move(self)), Tracker(tracker) {}
 
-void RolloutExchange::tell() {
-  const std::string text = encodeRolloutKnowledge(Moves.news());
-  if (text == Told)
+void RolloutExchange::writeOwn() {
+  const std::string text = encodeRolloutKnowledge(Tracker.ownKnowledge());
+  if (text == LastWritten)
     return;
   const std::string name = RolloutPrefix + Self.text();
   const auto stored = Objects.Read(name);
-  // Evidence of this host's earlier life stays in the pool.
+  // Evidence from this host's earlier processes stays in the object.
   RolloutKnowledge all;
   if (stored)
     all = decodeRolloutKnowledge(stored->Body);
-  merge(all, Moves.news());
+  merge(all, Tracker.ownKnowledge());
   Objects.Write(name, encodeRolloutKnowledge(all),
                 stored ? stored->Version : AbsentVersion);
-  Told = text;
+  LastWritten = text;
 }
 
-void RolloutExchange::ask() {
+void RolloutExchange::readOthers() {
   const Instant askedAt = now();
   for (const std::string &name : Objects.List(RolloutPrefix))
     if (const auto object = Objects.Read(name))
-      Moves.receive(decodeRolloutKnowledge(object->Body));
-  Moves.refreshed(askedAt);
+      Tracker.receive(decodeRolloutKnowledge(object->Body));
+  Tracker.refreshed(askedAt);
 }
 
 void RolloutExchange::exchange() {
-  ask();
-  tell();
+  readOthers();
+  writeOwn();
 }
 
 static MoveState stateOf(RolloutState state) {
@@ -52,7 +52,7 @@
   return MoveState::Moving;
 }
 
-static std::string sentence(const Veto &veto) {
+static std::string describeVeto(const Veto &veto) {
   std::string out = toText(veto.Reason);
   if (veto.Reason == RollbackReason::Deadline)
     return out;
@@ -67,21 +67,21 @@
          countText(veto.Old) + "; found by " + veto.By.text();
 }
 
-MoveStatus statusOf(const RolloutView &move, std::uint64_t generation) {
-  const RolloutStatus &from = move.Status;
+MoveStatus statusOf(const RolloutView &rolloutView, std::uint64_t generation) {
+  const RolloutStatus &from = rolloutView.Status;
   MoveStatus out;
-  out.Version = move.Version.Id;
-  out.Service = move.Version.Service;
+  out.Version = rolloutView.Version.Id;
+  out.Service = rolloutView.Version.Service;
   out.Generation = generation;
   out.State = stateOf(from.State);
   out.Stage = static_cast<int>(from.Stage);
   out.Share = from.State == RolloutState::TakenBack ? 0 : from.Share.Repeatable;
-  out.Deadline = move.Version.Deadline;
+  out.Deadline = rolloutView.Version.Deadline;
   out.Since = from.EndedAt;
-  for (const auto &[route, count] : move.Evidence)
+  for (const auto &[route, count] : rolloutView.Evidence)
     out.Evidence.push_back({route, count});
   if (from.Reason)
-    out.Reason = sentence(*from.Reason);
+    out.Reason = describeVeto(*from.Reason);
   else if (from.ForcedSteps > 0)
     out.Reason = std::to_string(from.ForcedSteps) +
                  " steps without full evidence, for the deadline";
@@ -95,23 +95,24 @@
   return sum;
 }
 
-/// Daemons know a little less or more than each other; what says less is not
-/// written over what says more.
-static bool saysMore(const MoveStatus &status, const MoveStatus &known) {
+/// The knowledge of daemons differs slightly. A less advanced status must not
+/// overwrite a more advanced one.
+static bool isMoreAdvanced(const MoveStatus &status, const MoveStatus &known) {
   if (known.State == MoveState::TakenBack || status.State != known.State)
     return known.State != MoveState::TakenBack && status.State > known.State;
   return status.Stage > known.Stage || callsOf(status) > callsOf(known);
 }
 
-void RolloutExchange::writeStatus(const RolloutView &move,
+void RolloutExchange::writeStatus(const RolloutView &rolloutView,
                                   std::uint64_t generation) {
-  const MoveStatus status = statusOf(move, generation);
+  const MoveStatus status = statusOf(rolloutView, generation);
   const std::string name = MoveStatusPrefix + status.Version.text();
   const auto stored = Objects.Read(name);
   if (stored) {
     const MoveStatus known = decodeMoveStatus(stored->Body);
     const bool isSame = known.Generation == generation;
-    if (known.Generation > generation || (isSame && !saysMore(status, known)))
+    if (known.Generation > generation ||
+        (isSame && !isMoreAdvanced(status, known)))
       return;
   }
   Objects.Write(name, encodeMoveStatus(status),
--- a/Services/sorrelbayd/RolloutExchange.h
+++ b/Services/sorrelbayd/RolloutExchange.h
@@ -6,34 +6,36 @@
 
 namespace sorrelbay {
 
-/// Keeps what daemons know of moves in the object API, one object a host, and
-/// writes each move's status for operators. Peers tell each other the same
-/// directly; the objects serve those that start when no peer lives.
+/// Stores the daemons' knowledge of rollouts in the object API, one object per
+/// host, and writes each rollout's status for operators. Peers also exchange
+/// this knowledge directly; the objects serve daemons that start while no peer
+/// is alive.
 class RolloutExchange {
 public:
-  RolloutExchange(ObjectApi objects, HostId self, RolloutTracker &moves);
+  RolloutExchange(ObjectApi objects, HostId self, RolloutTracker &tracker);
 
-  /// Takes in what the others sent, then sends them what is new here. Throws as
-  /// the ObjectApi's hooks do, and RolloutKnowledgeMalformed; what was taken in
-  /// until then stays.
+  /// Merges the other hosts' objects, then writes this host's object. Throws as
+  /// the ObjectApi's hooks do, and RolloutKnowledgeMalformed; what was merged
+  /// before the exception stays.
   void exchange();
-  /// Only the telling. Throws the same.
-  void tell();
+  /// Only writes this host's object, if its content has changed. Throws as
+  /// exchange() does.
+  void writeOwn();
 
-  /// Writes the move's status where it says more than the stored one. A version
-  /// that is stored as taken back stays so.
-  void writeStatus(const RolloutView &move, std::uint64_t generation);
+  /// Writes the rollout's status if it is more advanced than the stored one. A
+  /// version that is stored as rolled back stays rolled back.
+  void writeStatus(const RolloutView &rolloutView, std::uint64_t generation);
 
 private:
   const ObjectApi Objects;
   const HostId Self;
-  RolloutTracker &Moves;
-  std::string Told;
+  RolloutTracker &Tracker;
+  std::string LastWritten;
 
-  void ask();
+  void readOthers();
 };
 
-/// What status shows of a move.
-MoveStatus statusOf(const RolloutView &move, std::uint64_t generation);
+/// The status of a rollout as it is stored for operators.
+MoveStatus statusOf(const RolloutView &rolloutView, std::uint64_t generation);
 
 } // namespace sorrelbay
--- a/Services/sorrelbayd/RolloutTracker.cpp
+++ b/Services/sorrelbayd/RolloutTracker.cpp
@@ -6,8 +6,8 @@
 
 namespace sorrelbay {
 
-/// A daemon whose ticks were further apart was paused.
-static constexpr Duration LongestTick = seconds(1);
+/// A longer interval between two ticks means that the process was paused.
+static constexpr Duration MaxTickInterval = seconds(1);
 static constexpr std::size_t IncarnationDigits = 16;
 
 RolloutTracker::RolloutTracker(HostId self, ReplicasOf replicas)
@@ -33,16 +33,16 @@
   for (const UpstreamVersion &it : bundle.Versions) {
     if (it.Service != service || it.Deadline == Instant{})
       continue;
-    const auto move = Moves.find(it.Id);
-    if (move == Moves.end() || isRolledBack(it.Id))
+    const auto activeRollout = ActiveRollouts.find(it.Id);
+    if (activeRollout == ActiveRollouts.end() || isRolledBack(it.Id))
       continue;
-    const bool hasNew = !move->second.NewReplicas.empty();
-    const bool hasOld = !move->second.OldReplicas.empty();
+    const bool hasNew = !activeRollout->second.NewReplicas.empty();
+    const bool hasOld = !activeRollout->second.OldReplicas.empty();
     if (hasNew && !hasOld)
       return it.Id;
     if (hasNew &&
-        chooseVersion(move->second.Part->shares(), std::to_string(keyHash),
-                      isRepeatable, now()) == it.Id)
+        chooseVersion(activeRollout->second.Controller->shares(),
+                      std::to_string(keyHash), isRepeatable, now()) == it.Id)
       return it.Id;
   }
   return steady == nullptr ? VersionId() : steady->Id;
@@ -51,49 +51,49 @@
 void RolloutTracker::record(const EvidenceKey &key, UpstreamOutcome outcome) {
   const std::lock_guard<std::mutex> lock(Mutex);
   Knowledge.Evidence.record(Self, key, outcome);
-  const auto move = Moves.find(key.Version);
-  if (outcome != UpstreamOutcome::Good && move != Moves.end())
-    judge(key.Version, *move->second.Part, now());
+  const auto activeRollout = ActiveRollouts.find(key.Version);
+  if (outcome != UpstreamOutcome::Good && activeRollout != ActiveRollouts.end())
+    judge(key.Version, *activeRollout->second.Controller, now());
 }
 
-void RolloutTracker::judge(const VersionId &version, Rollout &part,
+void RolloutTracker::judge(const VersionId &version, Rollout &controller,
                            Instant at) {
   const bool wasRolledBack = isRolledBack(version);
-  part.update(Knowledge, at);
+  controller.update(Knowledge, at);
   if (!wasRolledBack && isRolledBack(version))
     logRollback(version, "judged here");
 }
 
-void RolloutTracker::beginMoves(const Bundle &bundle) {
+void RolloutTracker::beginRollouts(const Bundle &bundle) {
   if (Generation == bundle.Generation)
     return;
   Generation = bundle.Generation;
-  std::map<VersionId, Move> next;
-  Named.clear();
+  std::map<VersionId, ActiveRollout> next;
+  BundleVersions.clear();
   for (const UpstreamVersion &it : bundle.Versions)
-    Named.insert(it.Id);
+    BundleVersions.insert(it.Id);
   for (const Service &it : bundle.Services) {
     auto plan = planRollout(bundle, it.Id, 1);
     if (!plan)
       continue;
     const std::size_t old = Replicas(plan->Old).size();
     plan = planRollout(bundle, it.Id, old);
-    next[plan->New].Part = std::make_unique<Rollout>(*plan, Self.Host);
+    next[plan->New].Controller = std::make_unique<Rollout>(*plan, Self.Host);
   }
-  Moves = std::move(next);
-  Knowledge.Evidence.keepOnly(Named);
+  ActiveRollouts = std::move(next);
+  Knowledge.Evidence.keepOnly(BundleVersions);
 }
 
-void RolloutTracker::noteTime(Instant at) {
-  if (at > TickedAt + LongestTick)
+void RolloutTracker::updateFreshness(Instant at) {
+  if (at > LastTickAt + MaxTickInterval)
     ResumedAt = at;
-  TickedAt = at;
-  // As long as it goes on, its own judgement is as good as any; only what it
-  // may have missed must be asked for.
+  LastTickAt = at;
+  // A daemon that runs without a pause can rely on its own judgement. After a
+  // pause it first needs the knowledge that it may have missed.
   const bool isCurrent = RefreshedAt >= ResumedAt;
-  for (auto &it : Moves)
+  for (auto &it : ActiveRollouts)
     if (isCurrent)
-      it.second.Part->refreshed(at);
+      it.second.Controller->refreshed(at);
 }
 
 void RolloutTracker::tick(const Bundle &bundle, Instant at) {
@@ -101,14 +101,14 @@
   for (const UpstreamVersion &it : bundle.Versions)
     replicas[it.Id] = Replicas(it.Id);
   const std::lock_guard<std::mutex> lock(Mutex);
-  beginMoves(bundle);
-  noteTime(at);
-  for (auto &it : Moves) {
-    Move &move = it.second;
-    move.NewReplicas = replicas[it.first];
-    move.OldReplicas = replicas[move.Part->plan().Old];
-    if (!move.NewReplicas.empty())
-      judge(it.first, *move.Part, at);
+  beginRollouts(bundle);
+  updateFreshness(at);
+  for (auto &it : ActiveRollouts) {
+    ActiveRollout &activeRollout = it.second;
+    activeRollout.NewReplicas = replicas[it.first];
+    activeRollout.OldReplicas = replicas[activeRollout.Controller->plan().Old];
+    if (!activeRollout.NewReplicas.empty())
+      judge(it.first, *activeRollout.Controller, at);
   }
 }
 
@@ -121,37 +121,38 @@
 }
 
 std::vector<UpstreamId>
-RolloutTracker::unpackedReplicas(const VersionId &version) {
+RolloutTracker::excludedReplicas(const VersionId &version) {
   const std::lock_guard<std::mutex> lock(Mutex);
-  const auto move = Moves.find(version);
-  if (move == Moves.end())
+  const auto activeRollout = ActiveRollouts.find(version);
+  if (activeRollout == ActiveRollouts.end())
     return {};
-  const Rollout &part = *move->second.Part;
-  const auto packed = canaryReplicas(move->second.NewReplicas, part.callShare(),
-                                     part.plan().ReplicaShare);
+  const Rollout &controller = *activeRollout->second.Controller;
+  const auto selected =
+      canaryReplicas(activeRollout->second.NewReplicas, controller.callShare(),
+                     controller.plan().ReplicaShare);
   std::vector<UpstreamId> out;
-  for (const UpstreamId &it : move->second.NewReplicas)
-    if (std::find(packed.begin(), packed.end(), it) == packed.end())
+  for (const UpstreamId &it : activeRollout->second.NewReplicas)
+    if (std::find(selected.begin(), selected.end(), it) == selected.end())
       out.push_back(it);
   return out;
 }
 
-RolloutKnowledge RolloutTracker::news() {
+RolloutKnowledge RolloutTracker::ownKnowledge() {
   const std::lock_guard<std::mutex> lock(Mutex);
   return ownPart(Knowledge, Self);
 }
 
-void RolloutTracker::receive(const RolloutKnowledge &said) {
+void RolloutTracker::receive(const RolloutKnowledge &incoming) {
   const std::lock_guard<std::mutex> lock(Mutex);
-  std::vector<VersionId> news;
-  for (const auto &[version, veto] : said.Vetoes)
+  std::vector<VersionId> newlyRolledBack;
+  for (const auto &[version, veto] : incoming.Vetoes)
     if (!isRolledBack(version))
-      news.push_back(version);
-  merge(Knowledge, said);
-  for (const VersionId &it : news)
+      newlyRolledBack.push_back(version);
+  merge(Knowledge, incoming);
+  for (const VersionId &it : newlyRolledBack)
     logRollback(it, "told by a peer");
-  if (!Named.empty())
-    Knowledge.Evidence.keepOnly(Named);
+  if (!BundleVersions.empty())
+    Knowledge.Evidence.keepOnly(BundleVersions);
 }
 
 void RolloutTracker::refreshed(Instant askedAt) {
@@ -159,17 +160,17 @@
   RefreshedAt = std::max(RefreshedAt, askedAt);
 }
 
-std::vector<RolloutView> RolloutTracker::moves(const Bundle &bundle) {
+std::vector<RolloutView> RolloutTracker::rolloutViews(const Bundle &bundle) {
   const std::lock_guard<std::mutex> lock(Mutex);
   std::vector<RolloutView> out;
   for (const UpstreamVersion &it : bundle.Versions) {
-    const auto move = Moves.find(it.Id);
-    if (move == Moves.end())
+    const auto activeRollout = ActiveRollouts.find(it.Id);
+    if (activeRollout == ActiveRollouts.end())
       continue;
     RolloutView view;
     view.Version = it;
-    view.Status = move->second.Part->status();
-    for (const Route &route : move->second.Part->plan().Routes)
+    view.Status = activeRollout->second.Controller->status();
+    for (const Route &route : activeRollout->second.Controller->plan().Routes)
       view.Evidence[route.Id] = Knowledge.Evidence.total({it.Id, route.Id});
     out.push_back(std::move(view));
   }
--- a/Services/sorrelbayd/RolloutTracker.h
+++ b/Services/sorrelbayd/RolloutTracker.h
@@ -11,11 +11,11 @@
 
 namespace sorrelbay {
 
-/// One move to a version, as this daemon sees it.
+/// The rollout of one version, as known to this daemon.
 struct RolloutView {
   UpstreamVersion Version;
   RolloutStatus Status;
-  /// What all daemons together saw of the new version, by route.
+  /// The evidence of all daemons on the new version, by route.
   std::map<RouteId, EvidenceCount> Evidence;
 };
 
@@ -23,62 +23,64 @@
 using ReplicasOf =
     std::function<std::vector<UpstreamId>(const VersionId &version)>;
 
-/// Which version serves a call, and what each version has shown, on this host
-/// and, as far as is known, on all. Thread-safe; its lock is a leaf but for the
-/// hook, which is called by tick() alone, outside the lock.
+/// Chooses the version that serves a call and collects the evidence on each
+/// version, of this host and, as far as received, of all hosts. Thread-safe.
+/// The lock is a leaf; the hook for replicas is called only by tick().
 class RolloutTracker {
 public:
   RolloutTracker(HostId self, ReplicasOf replicas);
 
-  /// The version for a call: cut by the key's hash, so that a retry stays on
-  /// its version. Empty if the bundle names none for the service.
+  /// Returns the version for a call, chosen by the key's hash so that a retry
+  /// stays on its version. Empty if the bundle has none for the service.
   VersionId choose(const Bundle &bundle, const ServiceId &service,
                    std::uint64_t keyHash, bool isRepeatable);
-  /// Counts a call and judges at once if it went badly.
+  /// Records a call's outcome. If it is not Good, the version is judged at
+  /// once.
   void record(const EvidenceKey &key, UpstreamOutcome outcome);
-  /// Judges, and takes the steps that are due. Called several times a second;
-  /// without it no call goes to a version that is still judged.
+  /// Judges all rollouts and takes the steps that are due. To be called several
+  /// times a second; without it, no call is sent to a version in rollout.
   void tick(const Bundle &bundle, Instant at);
 
-  /// Replicas of the version that get no calls at its present share, so that
-  /// the others carry their normal load.
-  std::vector<UpstreamId> unpackedReplicas(const VersionId &version);
+  /// The replicas of the version that receive no calls at its current share, so
+  /// that the remaining ones have their normal load.
+  std::vector<UpstreamId> excludedReplicas(const VersionId &version);
 
-  /// What this daemon tells the others.
-  RolloutKnowledge news();
-  /// Takes in what another one sent.
-  void receive(const RolloutKnowledge &said);
-  /// All that the others knew at that time is known here.
+  /// The knowledge that this daemon publishes to the others.
+  RolloutKnowledge ownKnowledge();
+  /// Merges the knowledge of another daemon.
+  void receive(const RolloutKnowledge &incoming);
+  /// Records that all that the others knew at the given time is known here.
   void refreshed(Instant askedAt);
 
-  std::vector<RolloutView> moves(const Bundle &bundle);
+  std::vector<RolloutView> rolloutViews(const Bundle &bundle);
 
 private:
-  struct Move {
-    std::unique_ptr<Rollout> Part;
+  struct ActiveRollout {
+    std::unique_ptr<Rollout> Controller;
     std::vector<UpstreamId> NewReplicas;
     std::vector<UpstreamId> OldReplicas;
   };
 
-  /// Lets the move decide by what is known. Needs the lock, as the next.
-  void judge(const VersionId &version, Rollout &part, Instant at);
-  /// A line for what changes where calls go.
+  /// Updates the rollout's decision from the current knowledge. The lock must
+  /// be held, as for the members below.
+  void judge(const VersionId &version, Rollout &controller, Instant at);
+  /// Logs that a version was rolled back.
   void logRollback(const VersionId &version, const char *by) const;
   bool isRolledBack(const VersionId &version) const;
-  void beginMoves(const Bundle &bundle);
-  void noteTime(Instant at);
+  void beginRollouts(const Bundle &bundle);
+  void updateFreshness(Instant at);
 
   const EvidenceSource Self;
   const ReplicasOf Replicas;
   std::mutex Mutex;
   RolloutKnowledge Knowledge;
-  std::map<VersionId, Move> Moves;
+  std::map<VersionId, ActiveRollout> ActiveRollouts;
   std::uint64_t Generation = 0;
-  /// The versions of the bundle; evidence of others is dropped.
-  std::set<VersionId> Named;
-  Instant TickedAt;
-  /// Knowledge that is older is not used: when this daemon went on after it was
-  /// started or paused.
+  /// The versions in the bundle; evidence on other versions is dropped.
+  std::set<VersionId> BundleVersions;
+  Instant LastTickAt;
+  /// When this daemon was started, or resumed after a pause. Knowledge from
+  /// before this time is not used.
   Instant ResumedAt;
   Instant RefreshedAt;
 };
--- a/Services/sorrelbayd/StreamRecovery.cpp
+++ b/Services/sorrelbayd/StreamRecovery.cpp
@@ -6,20 +6,21 @@
 
 namespace sorrelbay {
 
-/// An answer's length where its caller sets no limit.
-static constexpr std::uint64_t UsualLength = 256;
+/// The expected length of an answer, in tokens, if its caller sets no limit.
+static constexpr std::uint64_t DefaultAnswerLength = 256;
 static constexpr Duration MoveTimeout = seconds(10);
-/// What a leaving engine is given whose end isn't told; the shortest notice.
+/// The assumed time until an engine leaves if its reclaim time is unknown; this
+/// is the shortest notice period.
 static constexpr Duration ShortestNotice = seconds(2);
-/// How long an ended answer is kept for a caller whose connection broke.
-static constexpr Duration KeptAfterEnd = seconds(15);
+/// How long an ended answer is retained for a caller whose connection broke.
+static constexpr Duration EndedAnswerRetention = seconds(15);
 
 StreamRecovery::StreamRecovery(const DaemonSettings &settings,
                                UpstreamTable &upstreams, LiveAnswers &answers,
                                Metrics &metrics)
     : Settings(settings), Upstreams(upstreams), Answers(answers),
-      Counts(metrics),
-      Movers(std::max<std::size_t>(1, settings.Recovery.MovesTogether)) {}
+      Counts(metrics), CacheMoveWorkers(std::max<std::size_t>(
+                           1, settings.Recovery.MovesTogether)) {}
 
 RecoveryPlan &StreamRecovery::planOf(const VersionId &version) {
   return Plans.try_emplace(version, Settings.Recovery).first->second;
@@ -28,35 +29,38 @@
 void StreamRecovery::begin(const LiveAnswer &answer,
                            const UpstreamId &upstream) {
   const std::lock_guard<std::mutex> lock(Mutex);
-  const AnswerRequest &what = answer.What;
+  const AnswerRequest &callRequest = answer.CallRequest;
   OpenAnswer open;
-  open.Request = what.Id;
-  open.PromptTokens = what.Call.PromptTokens;
+  open.Request = callRequest.Id;
+  open.PromptTokens = callRequest.Call.PromptTokens;
   open.TokensSoFar = answer.tokenCount();
-  open.ExpectedLength = what.Call.MaxTokens ? what.Call.MaxTokens : UsualLength;
-  Open[what.Id] = Answers.find(what.Id, what.Context.FromTeam);
-  planOf(what.Version).open(open, upstream);
+  open.ExpectedLength = callRequest.Call.MaxTokens ? callRequest.Call.MaxTokens
+                                                   : DefaultAnswerLength;
+  Open[callRequest.Id] =
+      Answers.find(callRequest.Id, callRequest.Context.FromTeam);
+  planOf(callRequest.Version).open(open, upstream);
 }
 
 void StreamRecovery::firstTokenArrived(const LiveAnswer &answer) {
   const std::lock_guard<std::mutex> lock(Mutex);
-  const VersionId &version = answer.What.Version;
-  perform(version, planOf(version).resumed(now(), answer.What.Id));
+  const VersionId &version = answer.CallRequest.Version;
+  perform(version, planOf(version).resumed(now(), answer.CallRequest.Id));
 }
 
 void StreamRecovery::lost(const LiveAnswer &answer, const UpstreamId &upstream,
                           AttemptLoss loss) {
   const std::lock_guard<std::mutex> lock(Mutex);
-  const VersionId &version = answer.What.Version;
+  const VersionId &version = answer.CallRequest.Version;
   RecoveryPlan &plan = planOf(version);
-  plan.setProgress(answer.What.Id, answer.tokenCount());
-  perform(version, plan.attemptLost(now(), answer.What.Id, upstream, loss));
+  plan.setProgress(answer.CallRequest.Id, answer.tokenCount());
+  perform(version,
+          plan.attemptLost(now(), answer.CallRequest.Id, upstream, loss));
 }
 
 void StreamRecovery::end(const LiveAnswer &answer) {
   const std::lock_guard<std::mutex> lock(Mutex);
-  planOf(answer.What.Version).close(answer.What.Id);
-  Open.erase(answer.What.Id);
+  planOf(answer.CallRequest.Version).close(answer.CallRequest.Id);
+  Open.erase(answer.CallRequest.Id);
 }
 
 bool StreamRecovery::mayAdmit(const VersionId &version) {
@@ -67,44 +71,45 @@
 void StreamRecovery::tick() {
   const std::lock_guard<std::mutex> lock(Mutex);
   const Instant at = now();
-  Answers.dropEndedBefore(at - KeptAfterEnd);
-  takeUpstreams(at);
+  Answers.dropEndedBefore(at - EndedAnswerRetention);
+  updateUpstreams(at);
   for (const auto &[request, answer] : Open)
-    planOf(answer->What.Version).setProgress(request, answer->tokenCount());
+    planOf(answer->CallRequest.Version)
+        .setProgress(request, answer->tokenCount());
   for (auto &[version, plan] : Plans)
     if (plan.isBusy())
       perform(version, plan.tick(at));
 }
 
-void StreamRecovery::takeUpstreams(Instant at) {
+void StreamRecovery::updateUpstreams(Instant at) {
   std::map<VersionId, std::map<Instant, std::vector<UpstreamId>>> notices;
   std::set<UpstreamId> listed;
   for (const EngineView &it : Upstreams.engines()) {
     RecoveryPlan &plan = planOf(it.Version);
     listed.insert(it.Id);
-    Known[it.Id] = it.Version;
+    KnownEngines[it.Id] = it.Version;
     plan.setUpstream(it.Id, it.Zone, it.Capacity);
     if (it.IsLeaving && !plan.isLeaving(it.Id))
       notices[it.Version][it.LeavesAt.value_or(at + ShortestNotice)].push_back(
           it.Id);
   }
-  // What is no longer listed is gone or about to be; its answers may still
-  // come, so they are sent elsewhere before anything is cut.
-  for (auto it = Known.begin(); it != Known.end();) {
+  // An engine that is no longer listed has left or will soon. It may still send
+  // its answers, so they are redirected before their connections break.
+  for (auto it = KnownEngines.begin(); it != KnownEngines.end();) {
     const bool isListed = listed.count(it->first) != 0;
     if (!isListed)
       notices[it->second][at].push_back(it->first);
-    it = isListed ? std::next(it) : Known.erase(it);
+    it = isListed ? std::next(it) : KnownEngines.erase(it);
   }
-  for (const auto &[version, waves] : notices)
-    for (const auto &[leavesAt, upstreams] : waves)
+  for (const auto &[version, batches] : notices)
+    for (const auto &[leavesAt, upstreams] : batches)
       perform(version, planOf(version).notice(at, upstreams, leavesAt));
 }
 
 void StreamRecovery::perform(const VersionId &version,
                              const RecoveryActions &actions) {
   for (const MoveCache &it : actions.Moves)
-    move(version, it);
+    enqueueMove(version, it);
   for (const AnswerResumption &it : actions.Resumes) {
     const auto answer = Open.find(it.Request);
     if (answer == Open.end() || !answer->second)
@@ -114,31 +119,32 @@
         .field("request", it.Request.text())
         .field("upstream", it.To.text())
         .field("recomputed", static_cast<std::int64_t>(it.Recomputed))
-        .field("trace_id", answer->second->What.Context.Trace.TraceId);
-    const auto handle = Handles.find(it.Request);
+        .field("trace_id", answer->second->CallRequest.Context.Trace.TraceId);
+    const auto handle = CacheHandles.find(it.Request);
     answer->second->redirect(
-        {it.To, handle == Handles.end() ? std::string() : handle->second});
+        {it.To, handle == CacheHandles.end() ? std::string() : handle->second});
   }
 }
 
-void StreamRecovery::move(const VersionId &version, const MoveCache &order) {
+void StreamRecovery::enqueueMove(const VersionId &version,
+                                 const MoveCache &order) {
   const auto answer = Open.find(order.Request);
   if (answer == Open.end())
     return;
-  // Tokens that come during the export are not counted on.
-  const std::uint64_t tokens =
-      answer->second->What.Call.PromptTokens + answer->second->tokenCount();
-  Movers.enqueue(
-      [this, version, order, tokens] { moveNow(version, order, tokens); });
+  // Tokens that arrive during the export may be missing from the cache.
+  const std::uint64_t tokens = answer->second->CallRequest.Call.PromptTokens +
+                               answer->second->tokenCount();
+  CacheMoveWorkers.enqueue(
+      [this, version, order, tokens] { moveCache(version, order, tokens); });
 }
 
-void StreamRecovery::moveNow(const VersionId &version, const MoveCache &order,
-                             std::uint64_t cachedTokens) {
+void StreamRecovery::moveCache(const VersionId &version, const MoveCache &order,
+                               std::uint64_t cachedTokens) {
   std::string handle;
   try {
     handle = exportCache(order.From, order.Request.text(), MoveTimeout);
   } catch (const EngineFailed &error) {
-    LogLine(Severity::Warning, "cache not moved")
+    LogLine(Severity::Warning, "KV cache not moved")
         .field("request", order.Request.text())
         .field("error", error.what());
   }
@@ -152,12 +158,12 @@
     perform(version, plan.moveFailed(now(), order.Request));
     return;
   }
-  Handles[order.Request] = handle;
+  CacheHandles[order.Request] = handle;
   perform(version, plan.moved(now(), order.Request, cachedTokens));
-  // If the plan has changed meanwhile, the cache is of no use any more.
-  Handles.erase(order.Request);
+  // If the plan has changed meanwhile, the moved cache is no longer usable.
+  CacheHandles.erase(order.Request);
 }
 
-void StreamRecovery::stop() { Movers.shutdown(); }
+void StreamRecovery::stop() { CacheMoveWorkers.shutdown(); }
 
 } // namespace sorrelbay
--- a/Services/sorrelbayd/StreamRecovery.h
+++ b/Services/sorrelbayd/StreamRecovery.h
@@ -11,39 +11,42 @@
 
 namespace sorrelbay {
 
-/// Carries out the plans by which open answers survive the reclaim of their
-/// engines: feeds them with what the daemon sees, moves caches, and redirects
-/// answers. Answers stay on their version, so each version has its own plan.
+/// Executes the recovery plans by which open answers survive the reclaim of
+/// their engines: updates the plans with the daemon's observations, moves KV
+/// caches and redirects answers. Answers stay on their version, so each version
+/// has its own plan.
 ///
-/// Thread-safe. Lock order: its own, then UpstreamTable's, LiveAnswers' or a
-/// LiveAnswer's.
+/// Thread-safe. Lock order: its own lock, then that of UpstreamTable,
+/// LiveAnswers or a LiveAnswer.
 class StreamRecovery {
 public:
   StreamRecovery(const DaemonSettings &settings, UpstreamTable &upstreams,
                  LiveAnswers &answers, Metrics &metrics);
 
-  /// An answer's first attempt begins there.
+  /// Records that an answer's first attempt begins at the upstream.
   void begin(const LiveAnswer &answer, const UpstreamId &upstream);
-  /// The first token of the answer's present attempt has come.
+  /// Records that the first token of the answer's current attempt has arrived.
   void firstTokenArrived(const LiveAnswer &answer);
-  /// The answer's attempt there failed.
+  /// Records that the answer's attempt at the upstream failed.
   void lost(const LiveAnswer &answer, const UpstreamId &upstream,
             AttemptLoss loss);
   void end(const LiveAnswer &answer);
-  /// Whether the version has room for a new call beside answers that wait.
+  /// Whether the version's engines have capacity for a new call besides the
+  /// answers that wait for recovery.
   bool mayAdmit(const VersionId &version);
-  /// Looks at upstreams and answers again; called every few milliseconds.
+  /// Updates the plans with the state of upstreams and answers and performs the
+  /// actions that are due. To be called every few tens of milliseconds.
   void tick();
-  /// Waits for moves that are under way.
+  /// Waits until the KV cache moves in progress have ended.
   void stop();
 
 private:
   RecoveryPlan &planOf(const VersionId &version);
-  void takeUpstreams(Instant at);
+  void updateUpstreams(Instant at);
   void perform(const VersionId &version, const RecoveryActions &actions);
-  void move(const VersionId &version, const MoveCache &order);
-  void moveNow(const VersionId &version, const MoveCache &order,
-               std::uint64_t cachedTokens);
+  void enqueueMove(const VersionId &version, const MoveCache &order);
+  void moveCache(const VersionId &version, const MoveCache &order,
+                 std::uint64_t cachedTokens);
 
   const DaemonSettings &Settings;
   UpstreamTable &Upstreams;
@@ -51,10 +54,10 @@
   Metrics &Counts;
   std::mutex Mutex;
   std::map<VersionId, RecoveryPlan> Plans;
-  std::map<UpstreamId, VersionId> Known;
+  std::map<UpstreamId, VersionId> KnownEngines;
   std::map<RequestId, std::shared_ptr<LiveAnswer>> Open;
-  std::map<RequestId, std::string> Handles;
-  GrowingWorkerPool Movers;
+  std::map<RequestId, std::string> CacheHandles;
+  GrowingWorkerPool CacheMoveWorkers;
 };
 
 } // namespace sorrelbay
--- a/Services/sorrelbayd/UpstreamTable.cpp
+++ b/Services/sorrelbayd/UpstreamTable.cpp
@@ -5,17 +5,20 @@
 
 namespace sorrelbay {
 
-/// Answers that an engine may be sent before its first load report.
+/// The number of answers that may be open at an engine before its first load
+/// report.
 static constexpr std::uint32_t UnreportedCapacity = 4;
 
-/// How long an upstream is taken to leave where nobody said when it goes.
-static constexpr Duration UnknownLeave = minutes(2);
-/// Asked in vain so often, a call finds no upstream.
-static constexpr int MaxAsks = 4;
+/// The assumed time until an upstream leaves if no notice gives the time.
+static constexpr Duration DefaultLeaveDelay = minutes(2);
+/// The maximum number of load requests for one call; after these, the call gets
+/// no upstream.
+static constexpr int MaxLoadRequests = 4;
 
 static LeavingSettings leavingSettings() {
   LeavingSettings settings;
-  // Threads of a busy host may be late by this much without a pause.
+  // On a busy host, threads may be delayed by this much without a pause of the
+  // process.
   settings.MaxTickGap = seconds(2);
   return settings;
 }
@@ -44,7 +47,7 @@
       LeavingAt.emplace(id, it.LeavesAt);
     if (it.IsLeaving)
       Leaving.noteLeaving(
-          {id, isTimeKnown ? it.LeavesAt : askedAt + UnknownLeave});
+          {id, isTimeKnown ? it.LeavesAt : askedAt + DefaultLeaveDelay});
     const auto known = Upstreams.find(id);
     UpstreamState state;
     if (known != Upstreams.end())
@@ -60,8 +63,8 @@
       Chooser.forget(it.first);
   Upstreams = std::move(next);
   HasHostList = true;
-  // FIXME: The list lags; the answer of a peer whose view is fresh is to take
-  // its place here.
+  // FIXME: The host list lags; use the response of a peer whose view is fresh
+  // instead.
   Leaving.notePeerAnswered(askedAt);
 }
 
@@ -102,7 +105,7 @@
                               const EngineLoad &load, Instant askedAt) {
   const std::lock_guard<std::mutex> lock(Mutex);
   if (load.IsLeaving)
-    Leaving.noteLeaving({upstream, askedAt + UnknownLeave});
+    Leaving.noteLeaving({upstream, askedAt + DefaultLeaveDelay});
   else
     Leaving.noteStayConfirmed(upstream, askedAt);
   const auto it = Upstreams.find(upstream);
@@ -115,20 +118,20 @@
   const auto own = static_cast<std::uint64_t>(it->second.OwnOpenCalls);
   Capacities[upstream] =
       static_cast<std::uint32_t>(own) + ownShare(upstream, free);
-  // What the daemon knows to be open may have ended at the engine a moment ago,
-  // or not have begun there yet.
+  // A call that this daemon counts as open may have just ended at the engine,
+  // or may not have started there yet.
   const std::uint64_t taken = std::max(load.OpenStreams, own);
   const std::uint64_t left = load.Capacity - std::min(load.Capacity, taken);
   CallSlots[upstream] = static_cast<std::uint32_t>(
       own + std::max<std::uint64_t>(ownShare(upstream, left), left / 2));
 }
 
-/// This daemon's part of an engine's free places: all daemons see the same
-/// report and would otherwise fill the same places. What is left over by the
-/// division goes to daemons that differ from engine to engine.
+/// This daemon's share of an engine's free call slots. All daemons receive the
+/// same report and would otherwise fill the same slots. The remainder of the
+/// division goes to different daemons for each engine.
 std::uint32_t UpstreamTable::ownShare(const UpstreamId &upstream,
                                       std::uint64_t free) const {
-  std::uint64_t before = 0;
+  std::uint64_t lowerRanked = 0;
   const auto rank = [&upstream](const std::string &address) {
     return stableHash(upstream.text(), stableHash(address));
   };
@@ -138,10 +141,11 @@
     if (it.IsLeaving || it.Address == OwnAddress)
       continue;
     ++others;
-    before += rank(it.Address) < own ? 1 : 0;
+    lowerRanked += rank(it.Address) < own ? 1 : 0;
   }
   const std::uint64_t n = others + 1;
-  return static_cast<std::uint32_t>(free / n + (before < free % n ? 1 : 0));
+  return static_cast<std::uint32_t>(free / n +
+                                    (lowerRanked < free % n ? 1 : 0));
 }
 
 std::vector<UpstreamId>
@@ -155,9 +159,10 @@
 }
 
 PlacementChoice UpstreamTable::chooseAndCount(const PlacementRequest &request,
-                                              Instant at, Ask &ask) {
+                                              Instant at,
+                                              Confirmation &confirmation) {
   const std::lock_guard<std::mutex> lock(Mutex);
-  ask = Ask::No;
+  confirmation = Confirmation::NotNeeded;
   std::vector<UpstreamState> all;
   all.reserve(Upstreams.size());
   for (const auto &it : Upstreams) {
@@ -170,9 +175,10 @@
   const NewWork verdict = Leaving.newWorkFor(*choice.Upstream, at);
   if (verdict == NewWork::AskPeers)
     return {};
-  // Desks publish no load; of them only list, notices and peers tell.
+  // Desks report no load; only the host list, notices and peers report whether
+  // they are leaving.
   if (verdict == NewWork::AskUpstream && Engines.count(*choice.Upstream) != 0) {
-    ask = Ask::Engine;
+    confirmation = Confirmation::FromEngine;
     return choice;
   }
   Chooser.noteSent(*choice.Upstream, request, choice.CachedTokens, at);
@@ -184,10 +190,10 @@
                                      Instant at) {
   PlacementRequest full = request;
   full.OwnZone = OwnZone;
-  for (int n = 0; n < MaxAsks; ++n) {
-    Ask ask = Ask::No;
-    PlacementChoice choice = chooseAndCount(full, at, ask);
-    if (ask == Ask::No)
+  for (int n = 0; n < MaxLoadRequests; ++n) {
+    Confirmation confirmation = Confirmation::NotNeeded;
+    PlacementChoice choice = chooseAndCount(full, at, confirmation);
+    if (confirmation == Confirmation::NotNeeded)
       return choice;
     at = now();
     const std::optional<EngineLoad> load = FetchEngineLoad(*choice.Upstream);
@@ -219,15 +225,16 @@
     --it->second.OwnOpenCalls;
 }
 
-int UpstreamTable::placesFor(const ServiceId &service) const {
+int UpstreamTable::callSlotsFor(const ServiceId &service) const {
   const std::lock_guard<std::mutex> lock(Mutex);
   const Instant at = now();
   std::uint32_t sum = 0;
   for (const UpstreamId &id : Engines) {
     if (Upstreams.at(id).OfService != service || isLeavingAt(id, at))
       continue;
-    const auto places = CallSlots.find(id);
-    sum += places == CallSlots.end() ? UnreportedCapacity : places->second;
+    const auto callSlots = CallSlots.find(id);
+    sum +=
+        callSlots == CallSlots.end() ? UnreportedCapacity : callSlots->second;
   }
   return static_cast<int>(sum);
 }
--- a/Services/sorrelbayd/UpstreamTable.h
+++ b/Services/sorrelbayd/UpstreamTable.h
@@ -15,75 +15,81 @@
 
 namespace sorrelbay {
 
-/// An engine as the recovery of streams needs it.
+/// The state of an engine as used by StreamRecovery.
 struct EngineView {
   UpstreamId Id;
   ZoneId Zone;
   VersionId Version;
-  /// Answers that this daemon may have open there.
+  /// The number of answers that this daemon may have open at the engine.
   std::uint32_t Capacity = 0;
   bool IsLeaving = false;
-  /// When it goes, where that is known.
+  /// When the engine leaves, if that is known.
   std::optional<Instant> LeavesAt;
 };
 
-/// Every upstream that the daemon knows of, and the choice among them.
-/// Thread-safe; its lock is a leaf: nothing else is called while it is held.
+/// The known upstreams and the choice among them for each call. Thread-safe;
+/// the lock is a leaf: nothing else is called while it is held.
 class UpstreamTable {
 public:
-  /// Asks an engine for its load; nothing if it does not answer soon.
+  /// Requests an engine's load report. Returns nothing if the engine does not
+  /// respond in time.
   using FetchLoad =
       std::function<std::optional<EngineLoad>(const UpstreamId &)>;
 
-  /// The own address is the one that the host list shows, "ip:port".
+  /// The own address is that of this daemon in the host list, "ip:port".
   UpstreamTable(std::string ownAddress, ZoneId ownZone, FetchLoad fetchLoad);
 
-  /// Takes over a host list that was asked for at that time: upstreams that are
-  /// no longer listed are dropped, those marked leaving stay leaving.
+  /// Applies a host list that was requested at the given time: upstreams that
+  /// are no longer listed are dropped; those marked as leaving stay so.
   void applyHostList(const std::vector<HostListEntry> &entries,
                      Instant askedAt);
   void applyNotice(const ReclaimNotice &notice);
   void applyLoad(const UpstreamId &upstream, const EngineLoad &load,
                  Instant askedAt);
-  /// What peers know to be leaving, and what this daemon knows.
+  /// Applies the notices of leaving upstreams that peers know.
   void applyPeerNotices(const std::vector<LeavingNotice> &notices);
+  /// The notices of leaving upstreams that this daemon knows.
   std::vector<LeavingNotice> leavingNotices(Instant at) const;
-  /// A gap between two of these tells that the daemon was paused.
+  /// To be called periodically; a long gap between two ticks means that the
+  /// process was paused.
   void tick(Instant at);
-  /// Whether the daemon has heard since its last pause what leaves.
+  /// Whether the daemon has received the leaving upstreams since its last
+  /// pause.
   bool isViewFresh(Instant at) const;
 
-  /// Chooses an upstream and counts the call as open there; the caller of this
-  /// must call finish() if an upstream was chosen. An engine that has not said
-  /// lately that it stays is asked first, without the lock.
+  /// Chooses an upstream and counts the call as open there. If an upstream was
+  /// chosen, finish() must be called for it. An engine that has not recently
+  /// confirmed that it stays is asked first, without the lock held.
   PlacementChoice begin(const PlacementRequest &request, Instant at);
   void finish(const UpstreamId &upstream, const ConversationKey &conversation,
               std::int64_t tokens, Instant at);
 
-  /// The same where the upstream is given already.
+  /// Counts a call as open at the given upstream; finish() must be called.
   void beginAt(const UpstreamId &upstream, const PlacementRequest &request,
                Instant at);
 
-  /// Calls that this daemon may have open at the service's engines: what it had
-  /// open at their last reports, and its part of the places that were free, but
-  /// half of them at least, since callers don't spread evenly over daemons.
-  int placesFor(const ServiceId &service) const;
+  /// The number of calls that this daemon may have open at the service's
+  /// engines: the calls that it had open at the time of their last reports plus
+  /// its share of the call slots that were free. The share is at least half,
+  /// since callers don't spread evenly over daemons.
+  int callSlotsFor(const ServiceId &service) const;
 
   std::vector<UpstreamState> snapshot() const;
   std::vector<EngineView> engines() const;
   /// The upstreams of a version that are not leaving.
   std::vector<UpstreamId> replicasOf(const VersionId &version) const;
-  /// Whether the upstream leaves or is no longer listed.
+  /// Whether the upstream is leaving or no longer listed.
   bool isLeaving(const UpstreamId &upstream) const;
-  /// Live entry hosts as the host list names them.
+  /// The live entry hosts according to the host list.
   std::vector<HostListEntry> entryHosts() const;
-  /// Whether a host list was ever received.
+  /// Whether a host list has been received since the start.
   bool hasHostList() const;
 
 private:
-  enum class Ask { No, Engine };
+  /// Whether the chosen engine first has to confirm that it stays.
+  enum class Confirmation { NotNeeded, FromEngine };
   PlacementChoice chooseAndCount(const PlacementRequest &request, Instant at,
-                                 Ask &ask);
+                                 Confirmation &confirmation);
   bool isLeavingAt(const UpstreamId &upstream, Instant at) const;
   std::uint32_t ownShare(const UpstreamId &upstream, std::uint64_t free) const;
 
@@ -93,11 +99,12 @@
   mutable std::mutex Mutex;
   std::map<UpstreamId, UpstreamState> Upstreams;
   LeavingUpstreams Leaving;
-  /// When those go of which it has had notice.
+  /// The time at which an upstream leaves, if a notice has given it.
   std::map<UpstreamId, Instant> LeavingAt;
-  /// By engine; only those are known that have reported.
+  /// The capacity for this daemon, by engine; only of engines that have
+  /// reported their load.
   std::map<UpstreamId, std::uint32_t> Capacities;
-  /// By engine, for placesFor.
+  /// The call slots of this daemon, by engine; see callSlotsFor().
   std::map<UpstreamId, std::uint32_t> CallSlots;
   std::set<UpstreamId> Engines;
   std::vector<HostListEntry> Entries;
--- a/Services/sorrelbayd/main.cpp
+++ b/Services/sorrelbayd/main.cpp
@@ -26,8 +26,8 @@
   return set;
 }
 
-/// How long a call to the platform may take, and how much longer than its
-/// patience a watch may.
+/// The timeout of a call to the platform, and the time by which a watch may
+/// exceed its wait limit.
 static constexpr Duration PlatformCallTimeout = milliseconds(800);
 static constexpr Duration PlatformWatchMargin = milliseconds(400);
 
@@ -42,7 +42,7 @@
   return text.str();
 }
 
-/// Reads the settings or prints every fault and ends the program.
+/// Parses the settings, or prints every fault and exits.
 template <typename Settings>
 static Settings readSettings(const std::string &text, const std::string &path,
                              Settings (*parse)(const std::string &,
@@ -55,14 +55,14 @@
   }
 }
 
-/// Serves until it is told to stop. A reload that changes nothing which can be
-/// taken over while running is only logged.
+/// Serves until a stop signal. No setting can be changed while running, so a
+/// reload signal is only logged.
 template <typename Service>
 static int serve(Service &service, const std::string &path) {
   const sigset_t signals = stopSignals();
   service.start();
-  int got = 0;
-  while (sigwait(&signals, &got) == 0 && got == SIGHUP)
+  int signalNumber = 0;
+  while (sigwait(&signals, &signalNumber) == 0 && signalNumber == SIGHUP)
     LogLine(Severity::Info, "reload asked for").field("settings", path);
   service.stop();
   return 0;
@@ -99,23 +99,23 @@
   CLI11_PARSE(app, argc, argv);
   const std::string text = readFile(path);
   const bool servesPlatform = usesStoreAsBundleSource(text);
-  const auto ofGateway = servesPlatform
-                             ? readSettings(text, path, parseGatewaySettings)
-                             : GatewaySettings{};
-  const auto ofDaemon = servesPlatform
-                            ? DaemonSettings{}
-                            : readSettings(text, path, parseDaemonSettings);
+  const auto gatewaySettings =
+      servesPlatform ? readSettings(text, path, parseGatewaySettings)
+                     : GatewaySettings{};
+  const auto daemonSettings =
+      servesPlatform ? DaemonSettings{}
+                     : readSettings(text, path, parseDaemonSettings);
   if (onlyChecks) {
     std::cout << path << ": ok\n";
     return 0;
   }
-  // Blocked before any thread starts, so that only this one takes them.
+  // Blocked before any thread starts, so that only this thread receives them.
   const sigset_t signals = stopSignals();
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
   std::signal(SIGPIPE, SIG_IGN);
   try {
-    return servesPlatform ? runGateway(ofGateway, path)
-                          : runDaemon(ofDaemon, path);
+    return servesPlatform ? runGateway(gatewaySettings, path)
+                          : runDaemon(daemonSettings, path);
   } catch (const std::exception &error) {
     LogLine(Severity::Error, "daemon failed").field("error", error.what());
     return ExitFailed;
--- a/Tests/sorrelbayd/TestCallAdmission.cpp
+++ b/Tests/sorrelbayd/TestCallAdmission.cpp
@@ -22,17 +22,18 @@
 
 BOOST_AUTO_TEST_SUITE(CallAdmissionTests)
 
-// The one place is taken and chats wait for it when an alarm comes in. Behind
-// them it would reach the technician too late.
+// The only call slot is taken and chats wait for it when an alarm arrives. In
+// order of arrival, the alarm would reach the technician too late.
 BOOST_AUTO_TEST_CASE(an_alarm_that_comes_last_starts_first) {
   CallAdmission admission([](const ServiceId &) { return 1; });
-  auto first = admission.enter(Model, call(0, hours(1)));
+  auto first = admission.acquireSlot(Model, call(0, hours(1)));
   std::mutex mutex;
   std::string order;
   std::vector<std::thread> callers;
   for (const int priority : {0, 0, 0, 9}) {
     callers.emplace_back([&, priority] {
-      const auto place = admission.enter(Model, call(priority, hours(1)));
+      const auto callSlot =
+          admission.acquireSlot(Model, call(priority, hours(1)));
       const std::lock_guard<std::mutex> lock(mutex);
       order += std::to_string(priority);
     });
@@ -45,12 +46,12 @@
   BOOST_TEST(order == "9000");
 }
 
-// A call can't begin before its deadline. Its caller is told at once, while
-// the place is still taken, and not only when the deadline has passed.
+// A call can't start before its deadline because the only call slot is taken.
+// The caller must get the refusal at once and not only after the deadline.
 BOOST_AUTO_TEST_CASE(a_hopeless_call_is_refused_while_the_place_is_taken) {
   CallAdmission admission([](const ServiceId &) { return 1; });
-  const auto first = admission.enter(Model, call(0, hours(1)));
-  BOOST_CHECK_EXCEPTION(admission.enter(Model, call(0, milliseconds(50))),
+  const auto first = admission.acquireSlot(Model, call(0, hours(1)));
+  BOOST_CHECK_EXCEPTION(admission.acquireSlot(Model, call(0, milliseconds(50))),
                         AdmissionRefused, [](const AdmissionRefused &error) {
                           return error.retryAfter() > Duration{};
                         });
--- a/Tests/sorrelbayd/TestDaemonSettings.cpp
+++ b/Tests/sorrelbayd/TestDaemonSettings.cpp
@@ -21,7 +21,7 @@
 
 struct SettingsRow {
   const char *Name;
-  /// Text that is replaced in the good settings, and by what.
+  /// The text in the valid settings that is replaced by New.
   const char *Old;
   const char *New;
   const char *Wanted;
--- a/Tests/sorrelbayd/TestLiveAnswer.cpp
+++ b/Tests/sorrelbayd/TestLiveAnswer.cpp
@@ -9,16 +9,16 @@
 const UpstreamId Engine("127.0.0.1:1");
 
 AnswerRequest request() {
-  AnswerRequest what;
-  what.Id = Own;
-  what.Call.MessagesJson = "[]";
-  what.Context.Deadline = now() + hours(1);
-  what.OnRoute.LatencyTarget = hours(1);
-  what.Arrival = now();
-  return what;
+  AnswerRequest callRequest;
+  callRequest.Id = Own;
+  callRequest.Call.MessagesJson = "[]";
+  callRequest.Context.Deadline = now() + hours(1);
+  callRequest.OnRoute.LatencyTarget = hours(1);
+  callRequest.Arrival = now();
+  return callRequest;
 }
 
-/// Events as a caller has them.
+/// The events that a caller has received.
 struct Caller {
   std::string Text;
   std::optional<std::uint64_t> LastEventId;
@@ -42,8 +42,8 @@
 
 BOOST_AUTO_TEST_SUITE(LiveAnswers)
 
-// The entry host leaves and a peer goes on with the answer. What the caller got
-// after the peer's copy was taken would be missing or come twice.
+// The entry host stops and a peer continues the answer. Tokens that arrive
+// after the state for the peer was copied must neither be lost nor sent twice.
 BOOST_AUTO_TEST_CASE(a_handed_over_answer_misses_and_repeats_nothing) {
   LiveAnswer here(request(), AnswerStream(Own));
   Caller caller;
@@ -71,7 +71,8 @@
   BOOST_TEST(caller.Text == "abcd.");
 }
 
-// No peer takes the answer. It was made on meanwhile, and the caller goes on.
+// No peer accepts the answer. Tokens that arrived during the handover must
+// reach the caller.
 BOOST_AUTO_TEST_CASE(an_answer_that_no_peer_takes_goes_on_here) {
   LiveAnswer here(request(), AnswerStream(Own));
   Caller caller;
@@ -88,13 +89,13 @@
   BOOST_TEST(caller.Text == "ab.");
 }
 
-// A redirect and the start of an attempt cross. Were the redirect lost, the
-// answer would stay on the engine that leaves.
+// A redirect arrives between the start of an attempt and its connection. If it
+// were lost, the answer would stay on the engine that is leaving.
 BOOST_AUTO_TEST_CASE(a_redirect_before_an_attempt_is_not_lost) {
   LiveAnswer answer(request(), AnswerStream(Own));
   answer.beginAttempt(Engine);
   answer.redirect({UpstreamId("other"), "handle"});
-  BOOST_TEST(!answer.attach([] {}));
+  BOOST_TEST(!answer.setCancelHook([] {}));
   const auto next = answer.takeRedirect(now());
   BOOST_REQUIRE(next.has_value());
   BOOST_TEST(next->CacheHandle == "handle");
--- a/Tests/sorrelbayd/TestRolloutExchange.cpp
+++ b/Tests/sorrelbayd/TestRolloutExchange.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// The object API as a map, without conflicts.
+/// An in-memory object API without version conflicts.
 struct StoredObjects {
   std::map<std::string, StoredObject> Objects;
 
@@ -36,7 +36,7 @@
   }
 };
 
-Bundle movingBundle() {
+Bundle rolloutBundle() {
   Bundle bundle;
   bundle.Generation = 2;
   bundle.Services = {
@@ -52,10 +52,10 @@
   return {UpstreamId(version.text() + ":1")};
 }
 
-int callsToNew(RolloutTracker &moves, const Bundle &bundle) {
+int callsToNew(RolloutTracker &tracker, const Bundle &bundle) {
   int sum = 0;
   for (std::uint64_t n = 0; n < 1000; ++n)
-    if (moves.choose(bundle, ServiceId("model"), n, true) == VersionId("v2"))
+    if (tracker.choose(bundle, ServiceId("model"), n, true) == VersionId("v2"))
       ++sum;
   return sum;
 }
@@ -88,36 +88,36 @@
   BOOST_CHECK_THROW(decodeRolloutKnowledge(text), RolloutKnowledgeMalformed);
 }
 
-// One daemon has found the version bad. Another one starts after that with
-// empty hands, and would send its callers there again.
+// One daemon has rolled the version back. A daemon that starts afterwards
+// without this knowledge would send calls to the version again.
 BOOST_AUTO_TEST_CASE(a_new_daemon_asks_before_it_uses_a_version) {
   StoredObjects stored;
-  const Bundle bundle = movingBundle();
+  const Bundle bundle = rolloutBundle();
   RolloutTracker first(HostId("first"), oneReplica);
-  RolloutExchange firstShare(stored.api(), HostId("first"), first);
-  firstShare.exchange();
+  RolloutExchange firstExchange(stored.api(), HostId("first"), first);
+  firstExchange.exchange();
   first.tick(bundle, now());
   first.tick(bundle, now());
-  firstShare.exchange();
+  firstExchange.exchange();
   first.tick(bundle, now());
   BOOST_CHECK_GT(callsToNew(first, bundle), 0);
   for (int n = 0; n < 20; ++n)
     first.record({VersionId("v2"), RouteId("chat")}, UpstreamOutcome::Failed);
   BOOST_CHECK_EQUAL(callsToNew(first, bundle), 0);
-  firstShare.exchange();
+  firstExchange.exchange();
 
   RolloutTracker second(HostId("second"), oneReplica);
-  RolloutExchange secondShare(stored.api(), HostId("second"), second);
+  RolloutExchange secondExchange(stored.api(), HostId("second"), second);
   second.tick(bundle, now());
   BOOST_CHECK_EQUAL(callsToNew(second, bundle), 0);
-  secondShare.exchange();
+  secondExchange.exchange();
   second.tick(bundle, now());
   BOOST_CHECK_EQUAL(callsToNew(second, bundle), 0);
-  BOOST_REQUIRE_EQUAL(second.moves(bundle).size(), 1U);
-  const MoveStatus status = statusOf(second.moves(bundle).front(), 2);
+  BOOST_REQUIRE_EQUAL(second.rolloutViews(bundle).size(), 1U);
+  const MoveStatus status = statusOf(second.rolloutViews(bundle).front(), 2);
   BOOST_CHECK(status.State == MoveState::TakenBack);
   BOOST_CHECK_EQUAL(status.Reason.find("failures"), 0U);
-  secondShare.writeStatus(second.moves(bundle).front(), 2);
+  secondExchange.writeStatus(second.rolloutViews(bundle).front(), 2);
   BOOST_CHECK_EQUAL(stored.Objects.count("status/moves/v2"), 1U);
 }
 
