--- a/Libraries/LibCaller/Problem.cpp
+++ b/Libraries/LibCaller/Problem.cpp
@@ -22,7 +22,7 @@
     : Error(std::move(detail)), Status(status), Type(std::move(type)),
       Result(outcome), RetryAfterDelay(retryAfter) {}
 
-Problem Problem::withElsewhere(std::vector<std::string> addresses) const {
+Problem Problem::withAlternatives(std::vector<std::string> addresses) const {
   Problem out = *this;
   out.OtherAddresses = std::move(addresses);
   return out;
--- a/Libraries/LibCaller/Problem.h
+++ b/Libraries/LibCaller/Problem.h
@@ -37,9 +37,11 @@
   const std::optional<Duration> &retryAfter() const { return RetryAfterDelay; }
   /// The addresses of other daemons that the caller may use at once, "ip:port"
   /// each.
-  const std::vector<std::string> &elsewhere() const { return OtherAddresses; }
+  const std::vector<std::string> &alternatives() const {
+    return OtherAddresses;
+  }
   /// A copy of the problem with these addresses.
-  Problem withElsewhere(std::vector<std::string> addresses) const;
+  Problem withAlternatives(std::vector<std::string> addresses) const;
 
 private:
   int Status;
--- a/Libraries/LibDecision/AnswerStream.cpp
+++ b/Libraries/LibDecision/AnswerStream.cpp
@@ -41,7 +41,7 @@
   return std::nullopt;
 }
 
-TokenVerdict AnswerStream::take(const ArrivedToken &token) {
+TokenVerdict AnswerStream::take(const ReceivedToken &token) {
   if (auto rejection = rejectUnlessCurrent(token.Request, token.Attempt))
     return *rejection;
   if (token.Offset < nextOffset()) {
@@ -64,7 +64,7 @@
   return TokenVerdict::Taken;
 }
 
-EndVerdict AnswerStream::finish(const ArrivedEnd &end) {
+EndVerdict AnswerStream::finish(const ReceivedEnd &end) {
   if (auto rejection = rejectUnlessCurrent(end.Request, end.Attempt))
     return *rejection == TokenVerdict::Late ? EndVerdict::Late
                                             : EndVerdict::Misrouted;
--- a/Libraries/LibDecision/AnswerStream.h
+++ b/Libraries/LibDecision/AnswerStream.h
@@ -18,7 +18,7 @@
 
 /// A token received from an upstream. The offset is the token's index in the
 /// whole answer, counted from 0 across all attempts.
-struct ArrivedToken {
+struct ReceivedToken {
   RequestId Request;
   AnswerAttempt Attempt = 0;
   std::uint64_t Offset = 0;
@@ -27,7 +27,7 @@
 
 /// The end of a stream received from an upstream. Without a stated length it
 /// cannot be distinguished from a broken connection.
-struct ArrivedEnd {
+struct ReceivedEnd {
   RequestId Request;
   AnswerAttempt Attempt = 0;
   /// Number of tokens of the whole answer.
@@ -117,8 +117,8 @@
   /// Ends an attempt whose connection closed, timed out or was refused. Returns
   /// false if the attempt was over already.
   bool abandonAttempt(AnswerAttempt attempt);
-  TokenVerdict take(const ArrivedToken &token);
-  EndVerdict finish(const ArrivedEnd &end);
+  TokenVerdict take(const ReceivedToken &token);
+  EndVerdict finish(const ReceivedEnd &end);
 
   /// The id of the event that nextEvent() returns next.
   std::uint64_t nextEventId() const { return NextToSend; }
--- a/Libraries/LibDecision/EngineCommands.cpp
+++ b/Libraries/LibDecision/EngineCommands.cpp
@@ -10,7 +10,7 @@
   const auto inFlightUntil = InFlightUntil.find(engine.Engine);
   if (inFlightUntil != InFlightUntil.end() && now <= inFlightUntil->second)
     return false;
-  return lease.mayCommandUnfenced(now) &&
+  return lease.mayCommandWithoutFencing(now) &&
          engine.AskedAt >= lease.unfencedFrom();
 }
 
@@ -26,7 +26,7 @@
       continue;
     verifyInvariant(lease.isHeld(now), "only the lease's holder gives orders",
                     "a command was sent without holding the lease");
-    InFlightUntil[it.Engine] = now + OrderTimeout;
+    InFlightUntil[it.Engine] = now + CommandTimeout;
     pendingCommands.push_back({it.Engine, found->second, lease.fencing()});
   }
   return pendingCommands;
--- a/Libraries/LibDecision/EngineCommands.h
+++ b/Libraries/LibDecision/EngineCommands.h
@@ -35,7 +35,7 @@
   /// A command that has not reached its engine within `commandTimeout` never
   /// will.
   explicit EngineCommands(Duration commandTimeout)
-      : OrderTimeout(commandTimeout) {}
+      : CommandTimeout(commandTimeout) {}
 
   /// Returns the commands to send now, or none if this daemon does not hold the
   /// lease. Engines missing from `wanted` are left alone. An engine that does
@@ -54,7 +54,7 @@
   bool mayCommand(const EngineVersions &engine, const LeaderLease &lease,
                   Instant now) const;
 
-  Duration OrderTimeout;
+  Duration CommandTimeout;
   std::map<UpstreamId, Instant> InFlightUntil;
 };
 
--- a/Libraries/LibDecision/LeaderLease.cpp
+++ b/Libraries/LibDecision/LeaderLease.cpp
@@ -17,7 +17,7 @@
   return HasRead && Seen.Holder == Self && now < HeldUntil;
 }
 
-bool LeaderLease::mayCommandUnfenced(Instant now) const {
+bool LeaderLease::mayCommandWithoutFencing(Instant now) const {
   return isHeld(now) && now >= UnfencedFrom;
 }
 
@@ -65,7 +65,7 @@
   const bool wasHeld = isHeld(now);
   const bool hadHolder = Seen.Version != 0;
   if (!wasHeld)
-    UnfencedFrom = hadHolder ? now + Settings.OrderTimeout : now;
+    UnfencedFrom = hadHolder ? now + Settings.CommandTimeout : now;
   Seen = {Self, version};
   SeenSince = now;
   MustRead = false;
--- a/Libraries/LibDecision/LeaderLease.h
+++ b/Libraries/LibDecision/LeaderLease.h
@@ -17,7 +17,7 @@
 struct LeaderLeaseSettings {
   Duration Term = seconds(10);
   /// A command that has not reached its engine within this time never will.
-  Duration OrderTimeout = seconds(5);
+  Duration CommandTimeout = seconds(5);
   /// The share of the term that the holder does not use, to allow for clocks
   /// that run at different speeds.
   double Margin = 0.1;
@@ -65,7 +65,7 @@
   /// Whether commands may be sent to engines that do not check fencing tokens.
   /// A new holder first waits until no command of the previous holder can be in
   /// flight, since it would undo the new holder's command.
-  bool mayCommandUnfenced(Instant now) const;
+  bool mayCommandWithoutFencing(Instant now) const;
   /// The versions that an engine reports count as read back from this time on.
   Instant unfencedFrom() const { return UnfencedFrom; }
 
--- a/Libraries/LibDecision/Placement.cpp
+++ b/Libraries/LibDecision/Placement.cpp
@@ -151,7 +151,7 @@
       changes.begin(), changes.end(), change,
       [](const Change &a, const Change &b) { return a.At < b.At; });
   changes.insert(later, change);
-  if (changes.size() > Settings.MaxRememberedSends)
+  if (changes.size() > Settings.MaxLoadChanges)
     changes.pop_front();
 }
 
--- a/Libraries/LibDecision/Placement.h
+++ b/Libraries/LibDecision/Placement.h
@@ -80,7 +80,7 @@
   std::size_t MaxConversations = 20000;
   /// The maximum number of load changes kept per upstream. The oldest one is
   /// dropped beyond it.
-  std::size_t MaxRememberedSends = 256;
+  std::size_t MaxLoadChanges = 256;
 };
 
 /// Chooses the upstream with the lowest cost for each call. The cost covers
--- a/Libraries/LibDecision/RecoveryPlan.cpp
+++ b/Libraries/LibDecision/RecoveryPlan.cpp
@@ -152,7 +152,7 @@
 
 bool RecoveryPlan::mayAdmit(const UpstreamId &upstream) const {
   auto it = Upstreams.find(upstream);
-  return it != Upstreams.end() && hasRoom(it->second) &&
+  return it != Upstreams.end() && hasCapacity(it->second) &&
          totalRoom() > waiting();
 }
 
@@ -183,12 +183,12 @@
 std::uint64_t RecoveryPlan::leastRecomputed(const Answer &answer) const {
   std::uint64_t least = context(answer);
   for (const auto &[id, upstream] : Upstreams)
-    if (hasRoom(upstream))
+    if (hasCapacity(upstream))
       least = std::min(least, recomputedAt(answer, id));
   return least;
 }
 
-bool RecoveryPlan::hasRoom(const Upstream &upstream) {
+bool RecoveryPlan::hasCapacity(const Upstream &upstream) {
   return !upstream.IsGone && !upstream.LeavesAt &&
          upstream.Load < upstream.Capacity;
 }
@@ -210,7 +210,7 @@
 std::uint32_t RecoveryPlan::totalRoom() const {
   std::uint32_t n = 0;
   for (const auto &[id, upstream] : Upstreams)
-    if (hasRoom(upstream))
+    if (hasCapacity(upstream))
       n += upstream.Capacity - upstream.Load;
   return n;
 }
@@ -400,7 +400,7 @@
                                    RecoveryActions &actions) {
   std::uint32_t engines = 0;
   for (const auto &[id, upstream] : Upstreams)
-    engines += hasRoom(upstream) ? 1 : 0;
+    engines += hasCapacity(upstream) ? 1 : 0;
   if (engines == 0)
     return;
   double tokens = 0;
@@ -424,7 +424,7 @@
   const UpstreamId *best = nullptr;
   std::tuple<bool, double> bestRank;
   for (const auto &[id, upstream] : Upstreams) {
-    if (!hasRoom(upstream))
+    if (!hasCapacity(upstream))
       continue;
     const std::tuple<bool, double> rank(isZoneAtRisk(upstream.Zone),
                                         static_cast<double>(upstream.Load) /
@@ -442,7 +442,7 @@
   const UpstreamId *best = nullptr;
   std::tuple<bool, std::uint64_t, double> bestRank;
   for (const auto &[id, upstream] : Upstreams) {
-    if (!hasRoom(upstream) || avoids(at, answer, id) ||
+    if (!hasCapacity(upstream) || avoids(at, answer, id) ||
         upstream.Prefills >= Settings.PrefillsTogether)
       continue;
     const std::tuple<bool, std::uint64_t, double> rank(
--- a/Libraries/LibDecision/RecoveryPlan.h
+++ b/Libraries/LibDecision/RecoveryPlan.h
@@ -183,7 +183,7 @@
   static std::uint64_t context(const Answer &answer);
   static std::uint64_t recomputedAt(const Answer &answer, const UpstreamId &id);
   std::uint64_t leastRecomputed(const Answer &answer) const;
-  static bool hasRoom(const Upstream &upstream);
+  static bool hasCapacity(const Upstream &upstream);
   static bool avoids(Instant at, const Answer &answer, const UpstreamId &id);
   static void avoid(Instant at, Answer &answer, const UpstreamId &id);
   std::uint32_t totalRoom() const;
--- a/Libraries/LibObjectApi/ResourceWatcher.cpp
+++ b/Libraries/LibObjectApi/ResourceWatcher.cpp
@@ -24,7 +24,7 @@
   void confirm(Instant begun);
   void receive(const RelayedChanges &relayed, Instant now);
   Duration maxSilence() const {
-    return Settings.WaitLimit * Settings.SilentWaitLimits;
+    return Settings.WaitLimit * Settings.MaxSilentWaits;
   }
   Duration retryDelay() const;
   void retry(StoreFailure failure, bool mustList);
@@ -173,7 +173,7 @@
   if (Hooks.IsUnreached())
     return Hooks.IsProber() && now - LastQueryAt > maxSilence();
   return now - LastUpdateAt > maxSilence() ||
-         now - ConfirmedAt > Settings.WaitLimit * Settings.StaleWaitLimits;
+         now - ConfirmedAt > Settings.WaitLimit * Settings.MaxStaleWaits;
 }
 
 void ResourceWatcher::Impl::queryIfNeeded(Instant now) {
--- a/Libraries/LibObjectApi/ResourceWatcher.h
+++ b/Libraries/LibObjectApi/ResourceWatcher.h
@@ -35,10 +35,10 @@
   Duration RecoveryTime = seconds(2);
   /// The number of wait limits without relayed changes after which this host
   /// queries the store itself.
-  int SilentWaitLimits = 2;
+  int MaxSilentWaits = 2;
   /// The age of the view, as a number of wait limits, beyond which this host
   /// queries the store itself although changes are being relayed.
-  int StaleWaitLimits = 4;
+  int MaxStaleWaits = 4;
 };
 
 struct ResourceWatcherHooks {
--- a/Libraries/LibOperator/ActiveBundle.h
+++ b/Libraries/LibOperator/ActiveBundle.h
@@ -9,7 +9,7 @@
 namespace sorrelbay {
 
 /// The result of offering a bundle.
-enum class BundleOffer { Adopted, NotNewer };
+enum class BundleOfferResult { Adopted, NotNewer };
 
 /// The bundle in force in a daemon. A bundle offered by the object API or a
 /// peer comes into force only if it is signed by an accepted key and newer than
@@ -19,13 +19,13 @@
   explicit ActiveBundle(std::vector<PublicKey> acceptedKeys);
 
   /// Offers the bytes of a signed bundle. Throws a subclass of BundleRefused.
-  BundleOffer offer(const std::string &signedBytes);
+  BundleOfferResult offer(const std::string &signedBytes);
 
   /// Offers a bundle sent by a peer. Throws a subclass of BundleRefused, and
   /// BundleMalformed if the mark's generation differs from the bundle's own:
   /// where only the mark is compared, an old bundle would be taken for a new
   /// one.
-  BundleOffer offer(const BundleMark &mark);
+  BundleOfferResult offer(const BundleMark &mark);
 
   /// The bundle in force; null until the first one is adopted.
   std::shared_ptr<const Bundle> current() const { return Current; }
@@ -37,7 +37,7 @@
   BundleMark mark() const { return {generation(), Bytes}; }
 
 private:
-  BundleOffer adoptIfNewer(Bundle bundle, const std::string &signedBytes);
+  BundleOfferResult adoptIfNewer(Bundle bundle, const std::string &signedBytes);
 
   std::vector<PublicKey> AcceptedKeys;
   std::shared_ptr<const Bundle> Current;
--- a/Libraries/LibOperator/MoveStatus.cpp
+++ b/Libraries/LibOperator/RolloutStatusObject.cpp
@@ -1,4 +1,4 @@
-#include "LibOperator/MoveStatus.h"
+#include "LibOperator/RolloutStatusObject.h"
 #include "LibBase/Rfc3339.h"
 #include <algorithm>
 #include <nlohmann/json.hpp>
@@ -9,9 +9,10 @@
 
 using nlohmann::ordered_json;
 
-MoveState stateOf(const std::string &name) {
-  for (const MoveState it :
-       {MoveState::Moving, MoveState::Done, MoveState::TakenBack})
+PublishedRolloutState stateOf(const std::string &name) {
+  for (const PublishedRolloutState it :
+       {PublishedRolloutState::Moving, PublishedRolloutState::Done,
+        PublishedRolloutState::TakenBack})
     if (name == nameOf(it))
       return it;
   throw MoveStatusMalformed("unknown rollout state \"" + name + "\"");
@@ -52,8 +53,8 @@
   return at == Instant() ? ordered_json() : ordered_json(formatRfc3339(at));
 }
 
-MoveStatus fromJson(const ordered_json &from) {
-  MoveStatus status;
+RolloutStatusObject fromJson(const ordered_json &from) {
+  RolloutStatusObject status;
   status.Version = VersionId(from.at("version").get<std::string>());
   status.Service = ServiceId(from.at("service").get<std::string>());
   from.at("generation").get_to(status.Generation);
@@ -70,19 +71,19 @@
 
 } // namespace
 
-const char *nameOf(MoveState state) {
+const char *nameOf(PublishedRolloutState state) {
   switch (state) {
-  case MoveState::Moving:
+  case PublishedRolloutState::Moving:
     return "moving";
-  case MoveState::Done:
+  case PublishedRolloutState::Done:
     return "done";
-  case MoveState::TakenBack:
+  case PublishedRolloutState::TakenBack:
     return "taken_back";
   }
   return "";
 }
 
-std::string encodeMoveStatus(const MoveStatus &status) {
+std::string encodeMoveStatus(const RolloutStatusObject &status) {
   ordered_json out;
   out["version"] = status.Version.text();
   out["service"] = status.Service.text();
@@ -98,7 +99,7 @@
   return out.dump(-1, ' ', false, ordered_json::error_handler_t::replace);
 }
 
-MoveStatus decodeMoveStatus(const std::string &text) {
+RolloutStatusObject decodeMoveStatus(const std::string &text) {
   try {
     return fromJson(ordered_json::parse(text));
   } catch (const ordered_json::exception &error) {
@@ -108,8 +109,8 @@
   }
 }
 
-std::vector<MoveStatus> readMoveStatuses(const ObjectApi &api) {
-  std::vector<MoveStatus> out;
+std::vector<RolloutStatusObject> readMoveStatuses(const ObjectApi &api) {
+  std::vector<RolloutStatusObject> out;
   for (const std::string &name : api.List(MoveStatusPrefix))
     if (const auto object = api.Read(name))
       out.push_back(decodeMoveStatus(object->Body));
@@ -117,14 +118,14 @@
 }
 
 bool areMovesSettled(const Bundle &bundle,
-                     const std::vector<MoveStatus> &statuses) {
+                     const std::vector<RolloutStatusObject> &statuses) {
   const auto isSettled = [&](const UpstreamVersion &version) {
     return version.Deadline == Instant() ||
            std::any_of(statuses.begin(), statuses.end(),
-                       [&](const MoveStatus &it) {
+                       [&](const RolloutStatusObject &it) {
                          return it.Version == version.Id &&
                                 it.Generation >= bundle.Generation &&
-                                it.State != MoveState::Moving;
+                                it.State != PublishedRolloutState::Moving;
                        });
   };
   return std::all_of(bundle.Versions.begin(), bundle.Versions.end(), isSettled);
--- a/Libraries/LibOperator/MoveStatus.h
+++ b/Libraries/LibOperator/RolloutStatusObject.h
@@ -10,10 +10,10 @@
 namespace sorrelbay {
 
 /// The state of the rollout of a version.
-enum class MoveState { Moving, Done, TakenBack };
+enum class PublishedRolloutState { Moving, Done, TakenBack };
 
 /// Returns "moving", "done" or "taken_back".
-const char *nameOf(MoveState state);
+const char *nameOf(PublishedRolloutState state);
 
 /// The evidence about a version on one route, summed over all entry hosts.
 struct RouteEvidence {
@@ -23,12 +23,12 @@
 
 /// The status of a rollout, which daemons write to `status/moves/<version>` for
 /// operators.
-struct MoveStatus {
+struct RolloutStatusObject {
   VersionId Version;
   ServiceId Service;
   /// The generation of the bundle that ordered the rollout.
   std::uint64_t Generation = 0;
-  MoveState State = MoveState::Moving;
+  PublishedRolloutState State = PublishedRolloutState::Moving;
   /// The stage of the rollout, from 0.
   int Stage = 0;
   /// The share of calls that the version gets currently, 0 to 1.
@@ -55,18 +55,18 @@
 };
 
 /// Encodes the status as a JSON object on one line.
-std::string encodeMoveStatus(const MoveStatus &status);
+std::string encodeMoveStatus(const RolloutStatusObject &status);
 /// Decodes a status. Throws MoveStatusMalformed.
-MoveStatus decodeMoveStatus(const std::string &text);
+RolloutStatusObject decodeMoveStatus(const std::string &text);
 
 /// Reads the status of all rollouts, sorted by the versions' ids. Throws
 /// ObjectApiUnavailable or MoveStatusMalformed.
-std::vector<MoveStatus> readMoveStatuses(const ObjectApi &api);
+std::vector<RolloutStatusObject> readMoveStatuses(const ObjectApi &api);
 
 /// Whether the rollouts of all versions with a deadline have ended under this
 /// bundle. Daemons write the first status some time after the bundle is rolled,
 /// so a missing or older status means that the rollout has not begun.
 bool areMovesSettled(const Bundle &bundle,
-                     const std::vector<MoveStatus> &statuses);
+                     const std::vector<RolloutStatusObject> &statuses);
 
 } // namespace sorrelbay
--- a/Libraries/LibServing/ColdShare.cpp
+++ b/Libraries/LibServing/ColdShare.cpp
@@ -28,7 +28,7 @@
   return isListed ? static_cast<int>(calls / senders) : 0;
 }
 
-bool ColdRateLimiter::hasRoom(int share, Instant now) const {
+bool ColdRateLimiter::hasCapacity(int share, Instant now) const {
   const auto recent =
       std::count_if(Sends.begin(), Sends.end(),
                     [&](Instant at) { return now - at < Window; });
--- a/Libraries/LibServing/ColdShare.h
+++ b/Libraries/LibServing/ColdShare.h
@@ -21,7 +21,7 @@
 class ColdRateLimiter {
 public:
   /// Whether another call may be sent now.
-  bool hasRoom(int share, Instant now) const;
+  bool hasCapacity(int share, Instant now) const;
   void note(Instant now);
 
 private:
--- a/Libraries/LibServing/FleetReportMerger.cpp
+++ b/Libraries/LibServing/FleetReportMerger.cpp
@@ -102,9 +102,9 @@
   }
 }
 
-void FleetReportMerger::agree(Instant now) {
+void FleetReportMerger::converge(Instant now) {
   for (auto &[team, limiter] : Tables.RateLimiters)
-    limiter.agree(now);
+    limiter.converge(now);
 }
 
 void FleetReportMerger::fillOwnReport(FleetReport &report, Instant now) const {
--- a/Libraries/LibServing/FleetReportMerger.h
+++ b/Libraries/LibServing/FleetReportMerger.h
@@ -42,7 +42,7 @@
   void recount(const FleetMember &self, Instant now);
   /// Moves the levels of the teams' rate limiters towards those of other hosts;
   /// to be called a few times a second.
-  void agree(Instant now);
+  void converge(Instant now);
   /// Fills this host's own work and usage into its report.
   void fillOwnReport(FleetReport &report, Instant now) const;
   /// Fills the usage of the hosts that a sum covers into it.
--- a/Libraries/LibServing/FleetView.cpp
+++ b/Libraries/LibServing/FleetView.cpp
@@ -294,7 +294,7 @@
   return !self.IsLeaving && before < Settings.CollectorsPerZone;
 }
 
-bool FleetView::leads(const FleetMember &self, Instant now) const {
+bool FleetView::isFleetLeader(const FleetMember &self, Instant now) const {
   return aggregates(self, now) && rankInFleet(self, now) == 0;
 }
 
--- a/Libraries/LibServing/FleetView.h
+++ b/Libraries/LibServing/FleetView.h
@@ -87,7 +87,7 @@
   bool collects(const FleetMember &self, Instant now) const;
   /// Whether this host is the highest-ranked aggregator of all zones, which
   /// queries the store for the whole fleet.
-  bool leads(const FleetMember &self, Instant now) const;
+  bool isFleetLeader(const FleetMember &self, Instant now) const;
 
   /// All hosts of the group.
   std::vector<HostId> groupPeers() const;
--- a/Libraries/LibServing/ReplicaTable.cpp
+++ b/Libraries/LibServing/ReplicaTable.cpp
@@ -135,7 +135,7 @@
     return true;
   if (!entry.ColdShare)
     entry.ColdShare = coldRateShare(entry.Record.Id, Self, Hosts, rate->second);
-  return entry.ColdLimiter.hasRoom(*entry.ColdShare, now);
+  return entry.ColdLimiter.hasCapacity(*entry.ColdShare, now);
 }
 
 bool ReplicaTable::isInAllowedRegion(
@@ -275,8 +275,8 @@
     const double slowness = model.slownessOf(it.CandidateEntry->Record.Id, now);
     it.TokensToPrefill = tokensToPrefill(
         it, request, it.HashRank == highestRank, out.size(), now);
-    it.Ahead = static_cast<double>(own.PromptTokens + peers.PromptTokens);
-    it.Wait = slowness * model.prefillTime(it.Ahead);
+    it.TokensAhead = static_cast<double>(own.PromptTokens + peers.PromptTokens);
+    it.Wait = slowness * model.prefillTime(it.TokensAhead);
     const double prefillCost = slowness * model.prefillTime(it.TokensToPrefill);
     it.FirstToken = slowness * model.base() + it.Wait + prefillCost;
     it.Cost = it.Wait + Settings.PrefillWeight * prefillCost +
@@ -318,7 +318,7 @@
   const Candidate &best = bestOf(all);
   choice.Id = best.CandidateEntry->Record.Id;
   choice.TokensToPrefill = static_cast<std::int64_t>(best.TokensToPrefill);
-  choice.Ahead = static_cast<std::int64_t>(best.Ahead);
+  choice.TokensAhead = static_cast<std::int64_t>(best.TokensAhead);
   choice.Wait = fromSeconds(best.Wait / 1000);
   choice.FirstToken = fromSeconds(best.FirstToken / 1000);
   return choice;
--- a/Libraries/LibServing/ReplicaTable.h
+++ b/Libraries/LibServing/ReplicaTable.h
@@ -87,7 +87,7 @@
   /// Prompt tokens of the call that the upstream has to prefill.
   std::int64_t TokensToPrefill = 0;
   /// Prompt tokens of other calls that the upstream has to prefill first.
-  std::int64_t Ahead = 0;
+  std::int64_t TokensAhead = 0;
   /// Expected time until those are prefilled.
   Duration Wait{};
   /// Expected time to the first token.
@@ -101,7 +101,7 @@
   Failed,
   /// The upstream reported that it is full or leaving, and did not run the
   /// call.
-  TurnedAway,
+  Rejected,
   /// No connection, a broken connection, a malformed response, or no response
   /// in time.
   Broken,
@@ -253,7 +253,7 @@
     /// hosts; the highest one ranks first.
     std::uint64_t HashRank = 0;
     double TokensToPrefill = 0;
-    double Ahead = 0;
+    double TokensAhead = 0;
     double Wait = 0;
     double FirstToken = 0;
     double Cost = 0;
--- a/Libraries/LibServing/ServingCall.h
+++ b/Libraries/LibServing/ServingCall.h
@@ -54,7 +54,7 @@
   /// The id of the attempt that the response is for; empty if it gives none.
   std::string Id;
   /// The upstream reported that it did not run the call.
-  bool IsNotRun = false;
+  bool DidNotRun = false;
   /// The number of calls running and waiting at the upstream, and its slots.
   struct Load {
     int Running = 0;
--- a/Libraries/LibServing/TeamRateLimiter.cpp
+++ b/Libraries/LibServing/TeamRateLimiter.cpp
@@ -147,7 +147,7 @@
     it->second.Pace = 0;
 }
 
-void TeamRateLimiter::agree(Instant now) {
+void TeamRateLimiter::converge(Instant now) {
   if (!IsFilled || Rate <= 0)
     return;
   refill(Rate, Burst, now);
--- a/Libraries/LibServing/TeamRateLimiter.h
+++ b/Libraries/LibServing/TeamRateLimiter.h
@@ -58,7 +58,7 @@
   /// any unit that it misses or counts twice stays in its level forever: after
   /// many hosts were killed at once, some hosts saw a full bucket while others
   /// saw it seconds below zero.
-  void agree(Instant now);
+  void converge(Instant now);
   /// Returns the units of a call that did not run.
   void giveBack(std::int64_t units);
   /// The time until the bucket is no longer empty.
--- a/Services/sorrelbayd/BundleStore.cpp
+++ b/Services/sorrelbayd/BundleStore.cpp
@@ -16,7 +16,7 @@
 template <typename Offered>
 bool BundleStore::adoptOffer(const Offered &offered) {
   const std::lock_guard<std::mutex> offerLock(OfferMutex);
-  if (InForce.offer(offered) != BundleOffer::Adopted)
+  if (InForce.offer(offered) != BundleOfferResult::Adopted)
     return false;
   const std::lock_guard<std::mutex> lock(Mutex);
   Current = InForce.current();
--- a/Services/sorrelbayd/CallerApi.cpp
+++ b/Services/sorrelbayd/CallerApi.cpp
@@ -43,7 +43,7 @@
   // The caller can retry at another daemon at once, at this one only later.
   const Duration wait = others.empty() ? ShortRetryAfter : Duration{};
   return Problem(503, type, detail, refusalOutcome(request), wait)
-      .withElsewhere(others);
+      .withAlternatives(others);
 }
 
 /// Logs one line for each call, with the fields by which operators search.
--- a/Services/sorrelbayd/DutyLease.cpp
+++ b/Services/sorrelbayd/DutyLease.cpp
@@ -17,7 +17,7 @@
 static LeaderLeaseSettings leaseSettings(const GatewayBounds &bounds) {
   LeaderLeaseSettings settings;
   settings.Term = bounds.Lease + TermMargin;
-  settings.OrderTimeout = Duration::zero();
+  settings.CommandTimeout = Duration::zero();
   return settings;
 }
 
--- a/Services/sorrelbayd/Gateway.cpp
+++ b/Services/sorrelbayd/Gateway.cpp
@@ -150,15 +150,15 @@
   // One host watches the store for the fleet. Another replaces it within about
   // a second; only if none does should the other hosts query the store
   // themselves.
-  settings.SilentWaitLimits =
-      std::max(settings.SilentWaitLimits,
+  settings.MaxSilentWaits =
+      std::max(settings.MaxSilentWaits,
                static_cast<int>(bound / SilencesPerBound / settings.WaitLimit));
-  settings.StaleWaitLimits = std::max(settings.StaleWaitLimits,
-                                      settings.SilentWaitLimits + OldBySilent);
-  // Changes may be relayed by another host and be as old as StaleWaitLimits
+  settings.MaxStaleWaits =
+      std::max(settings.MaxStaleWaits, settings.MaxSilentWaits + OldBySilent);
+  // Changes may be relayed by another host and be as old as MaxStaleWaits
   // allows.
   State.LongestPlanAge =
-      settings.WaitLimit * settings.StaleWaitLimits + WatchDelay;
+      settings.WaitLimit * settings.MaxStaleWaits + WatchDelay;
   ResourceWatcherHooks plans;
   plans.OnObject = [this](const Resource &object) { applyPlan(object); };
   plans.OnRemoved = [](const std::string &) {};
@@ -217,8 +217,8 @@
   ResourceWatcherSettings settings = commonSettings;
   settings.WaitLimit = State.Settings.Bounds.Evacuation / ConfirmsPerBound;
   settings.BatchDelay = Duration::zero();
-  settings.SilentWaitLimits = ConfirmsPerBound / 2;
-  settings.StaleWaitLimits = ConfirmsPerBound - 1;
+  settings.MaxSilentWaits = ConfirmsPerBound / 2;
+  settings.MaxStaleWaits = ConfirmsPerBound - 1;
   Evacuations = makeWatcher(ResourceKind::Evacuations, settings, hooks);
   Evacuations->start();
 }
@@ -231,7 +231,7 @@
                                  Instant begun) {
     Fleet.relayChanges(kind, from, changes, begun);
   };
-  hooks.IsPolling = [this] { return Fleet.leads(bootNow()); };
+  hooks.IsPolling = [this] { return Fleet.isFleetLeader(bootNow()); };
   hooks.IsUnreached = [this] { return State.Reachability.isUnreached(); };
   hooks.IsProber = [kind] { return kind == ResourceKind::Plan; };
   return std::make_unique<ResourceWatcher>(Loop, State.Hooks.Store, kind,
--- a/Services/sorrelbayd/GatewayCall.cpp
+++ b/Services/sorrelbayd/GatewayCall.cpp
@@ -332,7 +332,7 @@
 void GatewayCall::onHead(const HttpReplyHead &head) {
   CurrentSend.Head = head;
   const UpstreamReplyInfo replyInfo = State.Hooks.ReadReplyInfo(head);
-  CurrentSend.IsNotRun = replyInfo.IsNotRun;
+  CurrentSend.DidNotRun = replyInfo.DidNotRun;
   const bool hasCallId = !replyInfo.Id.empty() || Call.Id.empty();
   // A successful response without an id may belong to any call.
   if (isSuccess() && !hasCallId) {
@@ -341,7 +341,7 @@
   }
   // An error response must not continue a response of which another attempt has
   // sent a part.
-  CurrentSend.IsDiscarded = CurrentSend.IsNotRun || (HasBegun && !isSuccess());
+  CurrentSend.IsDiscarded = CurrentSend.DidNotRun || (HasBegun && !isSuccess());
 }
 
 void GatewayCall::noteCallStarted() {
@@ -358,16 +358,17 @@
   CurrentSend.FirstByteAt = now;
   State.Replicas.noteFirstByte(CurrentSend.Replica, ExpectedCost);
   const bool isPromptRead =
-      Route->IsStream && isSuccess() && !CurrentSend.IsNotRun;
+      Route->IsStream && isSuccess() && !CurrentSend.DidNotRun;
   if (isPromptRead && Call.PromptTokens && !State.wasStalled(now)) {
     const ReplicaChoice &expected = CurrentSend.Expected;
     State.Replicas.noteFirstToken(
         CurrentSend.Replica,
-        {expected.TokensToPrefill + expected.Ahead, now - CurrentSend.At}, now);
+        {expected.TokensToPrefill + expected.TokensAhead, now - CurrentSend.At},
+        now);
   }
   if (FirstByteAt == Instant{})
     FirstByteAt = now;
-  if (!CurrentSend.IsNotRun)
+  if (!CurrentSend.DidNotRun)
     noteCallStarted();
   armTimer();
 }
@@ -424,7 +425,7 @@
 /// Records the attempt's outcome for its version while the service is being
 /// rolled out.
 void GatewayCall::recordOutcome(SendResult result) {
-  if (result == SendResult::TurnedAway || result == SendResult::Inconclusive ||
+  if (result == SendResult::Rejected || result == SendResult::Inconclusive ||
       !CurrentSend.WasSending)
     return;
   UpstreamOutcome outcome = UpstreamOutcome::Failed;
@@ -440,9 +441,9 @@
 void GatewayCall::onEnd() {
   if (IsDone)
     return;
-  if (CurrentSend.IsNotRun) {
+  if (CurrentSend.DidNotRun) {
     RetryState->recordNotRun();
-    endSend(SendResult::TurnedAway);
+    endSend(SendResult::Rejected);
     return retryOrFinish("upstream_turned_away");
   }
   if (!isSuccess()) {
@@ -498,7 +499,7 @@
     RetryState->recordFailure();
     return resume() ? trySend() : abortResponse("upstream_broke_off");
   }
-  if (CurrentSend.IsNotRun)
+  if (CurrentSend.DidNotRun)
     RetryState->recordNotRun();
   else
     RetryState->recordFailure();
@@ -627,7 +628,7 @@
         .field("expected_first_byte_ms",
                toMilliseconds(CurrentSend.Expected.FirstToken))
         .field("tokens_to_read", CurrentSend.Expected.TokensToPrefill)
-        .field("tokens_ahead", CurrentSend.Expected.Ahead);
+        .field("tokens_ahead", CurrentSend.Expected.TokensAhead);
   if (FirstByteAt != Instant{})
     line.field("first_byte_ms", toMilliseconds(FirstByteAt - ReceivedAt));
   if (Plan)
--- a/Services/sorrelbayd/GatewayCall.h
+++ b/Services/sorrelbayd/GatewayCall.h
@@ -31,7 +31,7 @@
     Instant At{};
     bool WasSending = false;
     bool HasFirstByte = false;
-    bool IsNotRun = false;
+    bool DidNotRun = false;
     bool IsDiscarded = false;
     HttpReplyHead Head;
     VersionId OfVersion;
--- a/Services/sorrelbayd/GatewayFleet.cpp
+++ b/Services/sorrelbayd/GatewayFleet.cpp
@@ -105,7 +105,7 @@
     PeerClocks.erase(it);
   }
   ReportMerger.recount(self(), now);
-  ReportMerger.agree(now);
+  ReportMerger.converge(now);
   updateLinks(now);
   publish(now);
 }
@@ -223,7 +223,7 @@
     relayed.Changes.Changes = changes.Changes;
   relayed.Age = now - begun;
   std::vector<HostId> peers = State.Fleet.groupPeers();
-  if (State.Fleet.isAggregatedByZone() && leads(now)) {
+  if (State.Fleet.isAggregatedByZone() && isFleetLeader(now)) {
     const auto others = State.Fleet.otherAggregators(now);
     peers.insert(peers.end(), others.begin(), others.end());
   }
--- a/Services/sorrelbayd/GatewayFleet.h
+++ b/Services/sorrelbayd/GatewayFleet.h
@@ -53,7 +53,9 @@
     return State.Fleet.aggregates(self(), now);
   }
   /// Whether this host watches the store for the whole fleet.
-  bool leads(Instant now) const { return State.Fleet.leads(self(), now); }
+  bool isFleetLeader(Instant now) const {
+    return State.Fleet.isFleetLeader(self(), now);
+  }
   FleetMember self() const;
   std::string address() const { return Link->address(); }
 
--- a/Services/sorrelbayd/LiveAnswer.cpp
+++ b/Services/sorrelbayd/LiveAnswer.cpp
@@ -29,7 +29,7 @@
   CancelConnection = nullptr;
 }
 
-TokenVerdict LiveAnswer::take(const ArrivedToken &token) {
+TokenVerdict LiveAnswer::take(const ReceivedToken &token) {
   const std::lock_guard<std::mutex> lock(Mutex);
   const TokenVerdict verdict = Stream.take(token);
   if (verdict != TokenVerdict::Taken)
@@ -41,7 +41,7 @@
   return verdict;
 }
 
-EndVerdict LiveAnswer::finish(const ArrivedEnd &end,
+EndVerdict LiveAnswer::finish(const ReceivedEnd &end,
                               const std::string &reason) {
   const std::lock_guard<std::mutex> lock(Mutex);
   const EndVerdict verdict = Stream.finish(end);
--- a/Services/sorrelbayd/LiveAnswer.h
+++ b/Services/sorrelbayd/LiveAnswer.h
@@ -70,8 +70,8 @@
   /// Ends the attempt. To be called before the attempt's connection is
   /// destroyed.
   void endAttempt();
-  TokenVerdict take(const ArrivedToken &token);
-  EndVerdict finish(const ArrivedEnd &end, const std::string &reason);
+  TokenVerdict take(const ReceivedToken &token);
+  EndVerdict finish(const ReceivedEnd &end, const std::string &reason);
   void fail(std::shared_ptr<const Problem> why);
 
   /// Ends the running attempt and continues the answer at the given engine.
--- a/Services/sorrelbayd/ModelCalls.cpp
+++ b/Services/sorrelbayd/ModelCalls.cpp
@@ -305,9 +305,9 @@
 
 /// The inverse of attemptId(). A malformed id yields an attempt number that was
 /// never used.
-static ArrivedToken arrivedToken(const EngineToken &token) {
+static ReceivedToken arrivedToken(const EngineToken &token) {
   const std::size_t dot = token.AttemptId.rfind('.');
-  ArrivedToken arrived;
+  ReceivedToken arrived;
   arrived.Request = RequestId(token.AttemptId.substr(0, dot));
   if (dot != std::string::npos)
     arrived.Attempt =
@@ -357,7 +357,7 @@
     }
     const bool isRedirected = answer.isRedirected();
     if (end) {
-      const ArrivedToken from = arrivedToken({end->AttemptId, 0, ""});
+      const ReceivedToken from = arrivedToken({end->AttemptId, 0, ""});
       const EndVerdict verdict = answer.finish(
           {from.Request, from.Attempt, end->Length}, end->FinishReason);
       if (verdict != EndVerdict::Whole)
--- a/Services/sorrelbayd/RolloutExchange.cpp
+++ b/Services/sorrelbayd/RolloutExchange.cpp
@@ -40,16 +40,16 @@
   writeOwn();
 }
 
-static MoveState stateOf(RolloutState state) {
+static PublishedRolloutState stateOf(RolloutState state) {
   switch (state) {
   case RolloutState::Moving:
-    return MoveState::Moving;
+    return PublishedRolloutState::Moving;
   case RolloutState::Done:
-    return MoveState::Done;
+    return PublishedRolloutState::Done;
   case RolloutState::TakenBack:
-    return MoveState::TakenBack;
+    return PublishedRolloutState::TakenBack;
   }
-  return MoveState::Moving;
+  return PublishedRolloutState::Moving;
 }
 
 static std::string describeVeto(const Veto &veto) {
@@ -67,9 +67,10 @@
          countText(veto.Old) + "; found by " + veto.By.text();
 }
 
-MoveStatus statusOf(const RolloutView &rolloutView, std::uint64_t generation) {
+RolloutStatusObject statusOf(const RolloutView &rolloutView,
+                             std::uint64_t generation) {
   const RolloutStatus &from = rolloutView.Status;
-  MoveStatus out;
+  RolloutStatusObject out;
   out.Version = rolloutView.Version.Id;
   out.Service = rolloutView.Version.Service;
   out.Generation = generation;
@@ -88,7 +89,7 @@
   return out;
 }
 
-static std::uint64_t callsOf(const MoveStatus &status) {
+static std::uint64_t callsOf(const RolloutStatusObject &status) {
   std::uint64_t sum = 0;
   for (const RouteEvidence &it : status.Evidence)
     sum += it.Count.Calls;
@@ -97,19 +98,22 @@
 
 /// The knowledge of daemons differs slightly. A less advanced status must not
 /// overwrite a more advanced one.
-static bool isMoreAdvanced(const MoveStatus &status, const MoveStatus &known) {
-  if (known.State == MoveState::TakenBack || status.State != known.State)
-    return known.State != MoveState::TakenBack && status.State > known.State;
+static bool isMoreAdvanced(const RolloutStatusObject &status,
+                           const RolloutStatusObject &known) {
+  if (known.State == PublishedRolloutState::TakenBack ||
+      status.State != known.State)
+    return known.State != PublishedRolloutState::TakenBack &&
+           status.State > known.State;
   return status.Stage > known.Stage || callsOf(status) > callsOf(known);
 }
 
 void RolloutExchange::writeStatus(const RolloutView &rolloutView,
                                   std::uint64_t generation) {
-  const MoveStatus status = statusOf(rolloutView, generation);
+  const RolloutStatusObject status = statusOf(rolloutView, generation);
   const std::string name = MoveStatusPrefix + status.Version.text();
   const auto stored = Objects.Read(name);
   if (stored) {
-    const MoveStatus known = decodeMoveStatus(stored->Body);
+    const RolloutStatusObject known = decodeMoveStatus(stored->Body);
     const bool isSame = known.Generation == generation;
     if (known.Generation > generation ||
         (isSame && !isMoreAdvanced(status, known)))
--- a/Services/sorrelbayd/RolloutExchange.h
+++ b/Services/sorrelbayd/RolloutExchange.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "LibObjectApi/ObjectApi.h"
-#include "LibOperator/MoveStatus.h"
+#include "LibOperator/RolloutStatusObject.h"
 #include "RolloutTracker.h"
 
 namespace sorrelbay {
@@ -36,6 +36,7 @@
 };
 
 /// The status of a rollout as it is stored for operators.
-MoveStatus statusOf(const RolloutView &rolloutView, std::uint64_t generation);
+RolloutStatusObject statusOf(const RolloutView &rolloutView,
+                             std::uint64_t generation);
 
 } // namespace sorrelbay
--- a/Tests/Integration/TestBadVersions.cpp
+++ b/Tests/Integration/TestBadVersions.cpp
@@ -1,6 +1,6 @@
 #include "Deployment.h"
 #include "LibObjectApi/HttpObjectApi.h"
-#include "LibOperator/MoveStatus.h"
+#include "LibOperator/RolloutStatusObject.h"
 #include <atomic>
 #include <boost/test/data/test_case.hpp>
 #include <boost/test/unit_test.hpp>
@@ -84,15 +84,15 @@
     Cluster.waitReady(2);
   }
 
-  MoveStatus status() const {
+  RolloutStatusObject status() const {
     const ObjectApi objects = connectObjectApi(Cluster.platform(), seconds(5));
-    for (const MoveStatus &it : readMoveStatuses(objects))
+    for (const RolloutStatusObject &it : readMoveStatuses(objects))
       if (it.Version == VersionId("v2"))
         return it;
     return {};
   }
 
-  void waitFor(MoveState state) const {
+  void waitFor(PublishedRolloutState state) const {
     waitUntil(std::string("the rollout state to be ") + nameOf(state),
               [&] { return status().State == state; });
   }
@@ -168,7 +168,7 @@
   two.rollTo(60);
   {
     const Callers callers(two.Cluster);
-    two.waitFor(MoveState::TakenBack);
+    two.waitFor(PublishedRolloutState::TakenBack);
   }
   BOOST_TEST(two.status().Reason.find(row.Reason) == 0U);
   two.waitUntilRolledBackEverywhere();
@@ -182,9 +182,9 @@
   TwoVersions two;
   two.rollTo(6);
   const Callers callers(two.Cluster);
-  two.waitFor(MoveState::Done);
+  two.waitFor(PublishedRolloutState::Done);
   Deployment::post(two.New.Address, "/admin/faults", R"({"fail_share":0.5})");
-  two.waitFor(MoveState::TakenBack);
+  two.waitFor(PublishedRolloutState::TakenBack);
 }
 
 // One daemon is paused while the others find the version bad, and another is
@@ -203,7 +203,7 @@
               [&] { return two.status().Stage > 1; });
     paused.Process->pause();
     Deployment::post(two.New.Address, "/admin/faults", R"({"fail_share":0.8})");
-    two.waitFor(MoveState::TakenBack);
+    two.waitFor(PublishedRolloutState::TakenBack);
     for (int n = 0; n < CallsAfter; ++n)
       waiting.emplace_back([&paused, n] {
         streamChat(paused.Address, "Which oak, number " + std::to_string(n), 1);
@@ -234,7 +234,7 @@
   Deployment::post(two.New.Address, "/admin/faults", R"({"fail_share":0.9})");
   two.waitForLastCallToNew();
   two.Cluster.setPlatformFaults(R"({"down":false})");
-  two.waitFor(MoveState::TakenBack);
+  two.waitFor(PublishedRolloutState::TakenBack);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Tests/LibDecision/HostPlannerSimulation.cpp
+++ b/Tests/LibDecision/HostPlannerSimulation.cpp
@@ -10,15 +10,15 @@
 /// Much longer than the lease's term, so that commands often arrive after the
 /// term of their sender.
 static constexpr int MaxCommandDelayMs = 10000;
-static constexpr Duration OrderTimeout = milliseconds(MaxCommandDelayMs);
+static constexpr Duration CommandTimeout = milliseconds(MaxCommandDelayMs);
 static constexpr Duration StartTime = seconds(8);
 
 static LeaderLeaseSettings leaseSettings(HostPlannerFault injectedFault) {
   LeaderLeaseSettings settings;
   settings.Term = seconds(4);
-  settings.OrderTimeout =
+  settings.CommandTimeout =
       injectedFault == HostPlannerFault::NoWaitForOldCommands ? Duration{}
-                                                              : OrderTimeout;
+                                                              : CommandTimeout;
   return settings;
 }
 
@@ -46,7 +46,7 @@
         plannerSettings(),
         EngineCommands(injectedFault == HostPlannerFault::OverlappingCommands
                            ? Duration{}
-                           : OrderTimeout));
+                           : CommandTimeout));
 }
 
 int HostPlannerSimulation::between(int low, int high) {
--- a/Tests/LibDecision/RandomisedRollout.cpp
+++ b/Tests/LibDecision/RandomisedRollout.cpp
@@ -36,7 +36,7 @@
 
 /// Returns what is wrong with the rollout, or an empty string.
 std::string checkBadRollout(const CanaryFault &fault,
-                            const MoveResult &result) {
+                            const RolloutResult &result) {
   const bool isImmediate = fault.From <= 0 && !fault.OnlyUnderLoad;
   if (!result.IsRolledBack)
     return "not rolled back";
@@ -88,7 +88,7 @@
   out[3].Variant.PacksReplicas = false;
   out[3].Scenario = load;
   out[4].Variant.Name = "stale knowledge used";
-  out[4].Variant.MindsStaleness = false;
+  out[4].Variant.ChecksStaleness = false;
   out[4].Scenario = paused;
   return out;
 }
@@ -105,14 +105,15 @@
         scenario.Fault = fault;
         BOOST_TEST_INFO(base.Deployment << ", " << fault.Name << ", seed "
                                         << seed);
-        BOOST_CHECK_EQUAL(checkBadRollout(fault, runMove(scenario, seed)), "");
+        BOOST_CHECK_EQUAL(checkBadRollout(fault, runRollout(scenario, seed)),
+                          "");
       }
 }
 
 BOOST_AUTO_TEST_CASE(randomised_good_versions_move_in_time) {
   for (std::uint64_t seed = 1; seed <= seedsToRun(); ++seed)
     for (const CanaryScenario &base : deploymentScenarios()) {
-      const MoveResult result = runMove(withFaults(base), seed);
+      const RolloutResult result = runRollout(withFaults(base), seed);
       BOOST_TEST_INFO(base.Deployment << ", seed " << seed);
       BOOST_CHECK(result.IsInTime);
     }
@@ -126,8 +127,9 @@
     std::string fault;
     for (std::uint64_t seed = 1; seed <= 3 && fault.empty(); ++seed) {
       const CanaryFault &cause = row.Scenario.Fault;
-      fault = checkBadRollout(cause, runMove(row.Scenario, seed, row.Variant));
-      BOOST_CHECK_EQUAL(checkBadRollout(cause, runMove(row.Scenario, seed)),
+      fault =
+          checkBadRollout(cause, runRollout(row.Scenario, seed, row.Variant));
+      BOOST_CHECK_EQUAL(checkBadRollout(cause, runRollout(row.Scenario, seed)),
                         "");
     }
     BOOST_TEST_MESSAGE(row.Variant.Name << ": " << fault);
--- a/Tests/LibDecision/TestAnswerStream.cpp
+++ b/Tests/LibDecision/TestAnswerStream.cpp
@@ -21,7 +21,7 @@
 
 struct TokenRow {
   const char *Name;
-  ArrivedToken Token;
+  ReceivedToken Token;
   TokenVerdict Verdict;
 };
 
@@ -43,7 +43,7 @@
 
 struct EndRow {
   const char *Name;
-  ArrivedEnd End;
+  ReceivedEnd End;
   EndVerdict Verdict;
 };
 
--- a/Tests/LibDecision/TestHostPlanner.cpp
+++ b/Tests/LibDecision/TestHostPlanner.cpp
@@ -77,7 +77,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(MoverTests)
+BOOST_AUTO_TEST_SUITE(HostPlannerTests)
 
 BOOST_DATA_TEST_CASE(finds_the_cheapest_mix,
                      boost::unit_test::data::make(MixRows), row) {
@@ -142,7 +142,7 @@
 // The lease's holder fails during an outage of the store. Without the version
 // that the holder reported, the other daemons would wait a whole term after the
 // outage, and a usage window would be lost.
-BOOST_AUTO_TEST_CASE(what_the_holder_told_of_its_lease_counts_as_seen) {
+BOOST_AUTO_TEST_CASE(a_reported_lease_version_counts_as_seen) {
   LeaderLeaseSettings settings;
   settings.Term = seconds(4);
   LeaderLease lease(IncarnationId("me"), settings);
@@ -197,7 +197,7 @@
 // Several daemons plan hosts at once, are paused in the middle of a round and
 // lose replies; starts are refused and zones reclaimed. A fault would create
 // unused hosts or unload a version that callers are sent to.
-BOOST_AUTO_TEST_CASE(randomised_movers_buy_once_and_never_undo) {
+BOOST_AUTO_TEST_CASE(randomised_planners_buy_once_and_never_undo) {
   for (std::uint64_t seed = 1; seed <= soakSeeds(20); ++seed)
     BOOST_CHECK_MESSAGE(
         HostPlannerSimulation(seed, HostPlannerFault::None).run().empty(),
@@ -206,7 +206,7 @@
 }
 
 // The same runs with injected faults, which the checks must detect.
-BOOST_DATA_TEST_CASE(randomised_flawed_movers_are_caught,
+BOOST_DATA_TEST_CASE(randomised_planner_faults_are_caught,
                      boost::unit_test::data::make(InjectedFaultRows), row) {
   int caught = 0;
   for (std::uint64_t seed = 1; seed <= soakSeeds(20); ++seed) {
--- a/Tests/LibDecision/TestRecoveryPlan.cpp
+++ b/Tests/LibDecision/TestRecoveryPlan.cpp
@@ -121,7 +121,7 @@
 /// Whether every caller received its text byte for byte and no engine exceeded
 /// its capacity.
 bool holds(const FleetResult &result) {
-  return result.Whole == result.Answers && result.MostOverload == 0;
+  return result.Whole == result.Answers && result.MaxOverload == 0;
 }
 
 /// The number of seeds that fail with a variant of the settings.
@@ -261,7 +261,7 @@
     const FleetResult result =
         RecoveryFleet(fleetUnder(wave, faults.Faults, seed), seed).run();
     BOOST_TEST(result.Whole == result.Answers, "seed " << seed);
-    BOOST_TEST(result.MostOverload == 0U, "seed " << seed);
+    BOOST_TEST(result.MaxOverload == 0U, "seed " << seed);
   }
 }
 
@@ -274,7 +274,7 @@
                              0;
   const std::uint64_t n =
       failing(WaveRows[0], faults.Faults,
-              [](FleetSettings &it) { it.TrustsArrivals = true; });
+              [](FleetSettings &it) { it.SkipsTokenChecks = true; });
   BOOST_TEST(n == (touchesTokens ? SeedsInCi : 0));
 }
 
--- a/Tests/LibLoad/TestSmallParts.cpp
+++ b/Tests/LibLoad/TestSmallParts.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(prompt_cache)
+BOOST_AUTO_TEST_SUITE(prompt_cache_estimate)
 
 BOOST_AUTO_TEST_CASE(a_part_is_where_it_was_sent_lately) {
   PromptCacheEstimate cache;
@@ -80,7 +80,7 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(first_token_limits)
+BOOST_AUTO_TEST_SUITE(queue_wait_limits)
 
 // Calls of the highest priority have a shorter latency target than calls of a
 // lower priority. With a limit by their own target alone they would be rejected
--- a/Tests/LibObjectApi/TestResourceWatcher.cpp
+++ b/Tests/LibObjectApi/TestResourceWatcher.cpp
@@ -50,7 +50,7 @@
     listing.Got = ResourceListing{{{"a", "1", "", 5}}, 10};
     CompleteList(listing);
     if (!fresh)
-      Watcher->tick(bootNow() + settings.WaitLimit * settings.SilentWaitLimits +
+      Watcher->tick(bootNow() + settings.WaitLimit * settings.MaxSilentWaits +
                     milliseconds(1));
   }
 
@@ -98,7 +98,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(kind_watcher)
+BOOST_AUTO_TEST_SUITE(resource_watcher)
 
 BOOST_AUTO_TEST_CASE(a_host_that_receives_relayed_changes_does_not_query) {
   WatcherFixture fixture(false);
@@ -125,7 +125,7 @@
   fixture.Watcher->tick(bootNow() + settings.WaitLimit);
   BOOST_TEST(fixture.Watches == 0);
   fixture.Watcher->tick(bootNow() +
-                        settings.WaitLimit * settings.SilentWaitLimits +
+                        settings.WaitLimit * settings.MaxSilentWaits +
                         milliseconds(1));
   BOOST_TEST(fixture.Watches == 1);
   BOOST_TEST(fixture.After == 10);
@@ -148,7 +148,7 @@
 
 // Two hosts of a zone both act as its aggregator. Each would relay to the other
 // the changes just received from it, endlessly.
-BOOST_AUTO_TEST_CASE(news_that_says_no_more_is_not_passed_on) {
+BOOST_AUTO_TEST_CASE(changes_without_progress_are_not_relayed) {
   WatcherFixture fixture(false);
   const RelayedChanges first =
       WatcherFixture::relayed(10, 12, {changed("b", "2", 12)});
@@ -208,7 +208,7 @@
     fixture.IsProber = probes;
     fixture.IsUnreached = true;
     const Instant failedAt = bootNow();
-    const Duration maxSilence = settings.WaitLimit * settings.SilentWaitLimits;
+    const Duration maxSilence = settings.WaitLimit * settings.MaxSilentWaits;
     fixture.CompleteWatch({{}, StoreFailure::Unavailable});
     fixture.Watcher->tick(failedAt + maxSilence - milliseconds(100));
     BOOST_TEST(fixture.Watches == 1);
@@ -284,8 +284,8 @@
   ResourceWatcherSettings settings;
   settings.WaitLimit = milliseconds(200);
   settings.OutageAfter = milliseconds(300);
-  settings.SilentWaitLimits = 100;
-  settings.StaleWaitLimits = 100;
+  settings.MaxSilentWaits = 100;
+  settings.MaxStaleWaits = 100;
   WatcherFixture fixture(false, settings);
   fixture.Watcher->receive(WatcherFixture::relayed(10, 12, {}), bootNow());
   fixture.CompleteWatch({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
--- a/Tests/LibOperator/TestBundleRoll.cpp
+++ b/Tests/LibOperator/TestBundleRoll.cpp
@@ -1,5 +1,5 @@
 #include "LibOperator/BundleRoll.h"
-#include "LibOperator/MoveStatus.h"
+#include "LibOperator/RolloutStatusObject.h"
 #include "SampleBundle.h"
 #include <boost/test/unit_test.hpp>
 
@@ -116,11 +116,11 @@
 }
 
 BOOST_AUTO_TEST_CASE(move_status_is_unchanged_by_its_codec) {
-  MoveStatus status;
+  RolloutStatusObject status;
   status.Version = VersionId("floor-2");
   status.Service = ServiceId("floor");
   status.Generation = 7;
-  status.State = MoveState::TakenBack;
+  status.State = PublishedRolloutState::TakenBack;
   status.Deadline = Instant(seconds(90));
   status.Evidence = {{RouteId("quote"), {200, 31, 4}}};
   status.Reason = "31 of 200 calls failed on quote";
@@ -133,14 +133,14 @@
 // The tool reads the status right after a roll, before a daemon has written it.
 // The status from an earlier bundle must not count as this bundle's.
 BOOST_AUTO_TEST_CASE(only_rollouts_of_this_bundle_count_as_settled) {
-  MoveStatus status;
+  RolloutStatusObject status;
   status.Version = VersionId("alarm-1");
-  status.State = MoveState::Done;
+  status.State = PublishedRolloutState::Done;
   status.Generation = 6;
   BOOST_CHECK(!areMovesSettled(sampleBundle(7), {status}));
   status.Generation = 7;
   BOOST_CHECK(areMovesSettled(sampleBundle(7), {status}));
-  status.State = MoveState::Moving;
+  status.State = PublishedRolloutState::Moving;
   BOOST_CHECK(!areMovesSettled(sampleBundle(7), {status}));
 }
 
--- a/Tests/LibPeer/BundleSpread.cpp
+++ b/Tests/LibPeer/BundleSpread.cpp
@@ -149,7 +149,7 @@
                            Variant == SpreadVariant::Unverified;
   const bool isAdopted =
       skipsChecks ? offerUnchecked(host, mark)
-                  : host.Bundles->offer(mark) == BundleOffer::Adopted;
+                  : host.Bundles->offer(mark) == BundleOfferResult::Adopted;
   if (isAdopted)
     recordInForce(name, mark.Signed);
   return isAdopted;
--- a/Tests/LibServing/FleetSimulation.cpp
+++ b/Tests/LibServing/FleetSimulation.cpp
@@ -86,7 +86,7 @@
   host.Retries.reset();
   LeaderLeaseSettings lease;
   lease.Term = LeaseBound + seconds(1);
-  lease.OrderTimeout = Duration::zero();
+  lease.CommandTimeout = Duration::zero();
   if (Plan.Without == FleetOmission::LeaseEnd)
     lease.Margin = -10;
   host.Lease = std::make_unique<LeaderLease>(host.Incarnation, lease);
@@ -179,7 +179,7 @@
       host.Member.HoldsDuties ? host.Lease->fencing() : 0;
   host.View->removeSilent(Now);
   host.ReportMerger->recount(host.Member, Now);
-  host.ReportMerger->agree(Now);
+  host.ReportMerger->converge(Now);
   FleetReport own;
   own.Reporter = host.Member.Host;
   own.Zone = host.Member.Zone;
--- a/Tests/LibServing/TestCallRetryState.cpp
+++ b/Tests/LibServing/TestCallRetryState.cpp
@@ -9,7 +9,7 @@
 const Instant Deadline = Start + seconds(1);
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(call_life)
+BOOST_AUTO_TEST_SUITE(call_retry_state)
 
 // A booking reaches a desk, which dies before it answers. If it is sent again,
 // two crews go out; if it is reported as not run, its caller books again.
--- a/Tests/LibServing/TestColdShare.cpp
+++ b/Tests/LibServing/TestColdShare.cpp
@@ -61,7 +61,7 @@
   const Instant begin{seconds(1000)};
   for (Instant now = begin; now < begin + SimulatedTime; now += Step)
     for (const HostId &self : all)
-      if (limiters[self].hasRoom(shares[self], now)) {
+      if (limiters[self].hasCapacity(shares[self], now)) {
         limiters[self].note(now);
         out.push_back(now + fromSeconds(0.05 * draw()));
       }
--- a/Tests/LibServing/TestFleetView.cpp
+++ b/Tests/LibServing/TestFleetView.cpp
@@ -101,7 +101,7 @@
   int leaders() const {
     int n = 0;
     for (std::size_t it = 0; it < Views.size(); ++it)
-      if (!IsDown[it] && Views[it].leads(Members[it], Now))
+      if (!IsDown[it] && Views[it].isFleetLeader(Members[it], Now))
         ++n;
     return n;
   }
@@ -202,7 +202,7 @@
   Fleet fleet(180, 6);
   fleet.rounds(12);
   BOOST_TEST(fleet.leaders() == 1);
-  BOOST_TEST(fleet.Views[0].leads(fleet.Members[0], fleet.Now));
+  BOOST_TEST(fleet.Views[0].isFleetLeader(fleet.Members[0], fleet.Now));
   fleet.IsDown[0] = true;
   fleet.rounds(12);
   BOOST_TEST(fleet.leaders() == 1);
@@ -210,7 +210,7 @@
   fleet.Members[1].IsStoreUnreachable = true;
   fleet.rounds(12);
   BOOST_TEST(fleet.leaders() == 1);
-  BOOST_TEST(!fleet.Views[1].leads(fleet.Members[1], fleet.Now));
+  BOOST_TEST(!fleet.Views[1].isFleetLeader(fleet.Members[1], fleet.Now));
 }
 
 // A duty holder that receives its zone only as a sum must report the usage of
@@ -239,18 +239,19 @@
   // A host that stays alone leads after a while.
   Fleet isolated(180, 6);
   isolated.Now += seconds(4);
-  BOOST_TEST(isolated.Views[100].leads(isolated.Members[100], isolated.Now));
+  BOOST_TEST(
+      isolated.Views[100].isFleetLeader(isolated.Members[100], isolated.Now));
   FleetView singleHostView({HostId("h"), ZoneId("z"), fleet.Now - seconds(1)});
   FleetMember self;
   self.Host = HostId("h");
   self.Zone = ZoneId("z");
-  BOOST_TEST(singleHostView.leads(self, fleet.Now));
+  BOOST_TEST(singleHostView.isFleetLeader(self, fleet.Now));
 }
 
 // A host was disconnected, charged teams with everything that it had missed,
 // and is its zone's aggregator again. If its zone adopted its levels, all hosts
 // would refuse the teams.
-BOOST_AUTO_TEST_CASE(an_aggregator_that_is_wrong_moves_no_level) {
+BOOST_AUTO_TEST_CASE(a_wrong_aggregator_changes_no_level) {
   Fleet fleet(90, 3);
   const TeamId team("t");
   fleet.Levels.assign(90, 1000);
@@ -365,14 +366,14 @@
   BOOST_TEST(!fleet.Views[0].aggregates(fleet.Members[0], fleet.Now));
   fleet.Members[0].IsStoreUnreachable = false;
   BOOST_REQUIRE(fleet.Views[0].aggregates(fleet.Members[0], fleet.Now));
-  BOOST_REQUIRE(fleet.Views[1].leads(fleet.Members[1], fleet.Now));
+  BOOST_REQUIRE(fleet.Views[1].isFleetLeader(fleet.Members[1], fleet.Now));
   const auto reportTargets = fleet.Views[1].otherAggregators(fleet.Now);
   BOOST_TEST(std::count(reportTargets.begin(), reportTargets.end(),
                         HostId("h00")) == 1);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
-BOOST_AUTO_TEST_SUITE(used_sum)
+BOOST_AUTO_TEST_SUITE(usage_aggregator)
 
 // A host of a zone is killed and restarts. A sum that decreased would look like
 // returned units, and a sum that started again from zero would charge the team
--- a/Tests/LibServing/TestOverload.cpp
+++ b/Tests/LibServing/TestOverload.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Engines whose bottleneck is prefill and not slots.
-EngineMake prefillBoundEngines() {
+EngineProfile prefillBoundEngines() {
   return {38, 4.73, 0.014, 40, 2048, 96, 297000};
 }
 
@@ -62,7 +62,7 @@
   plan.IsScaled = true;
   plan.Seconds = 50;
   plan.Load = {{0, 0.7}, {28, 1.3}};
-  plan.Losses = {{30, 2}, {35, 1}};
+  plan.ZoneReclaims = {{30, 2}, {35, 1}};
   const EngineFleetResult result = EngineFleet(plan).play();
   plan.Replicas.TargetPrefillShare = 1e9;
   const EngineFleetResult byCalls = EngineFleet(plan).play();
@@ -86,7 +86,7 @@
 BOOST_AUTO_TEST_CASE(one_slow_engine_among_good_ones) {
   EngineFleetPlan plan = fleet(60);
   plan.EnginesPerZone = 3;
-  plan.FirstIsSlower = 5;
+  plan.FirstEngineSlowdown = 5;
   const EngineFleetResult result = EngineFleet(plan).play();
   BOOST_TEST(result.All.inTimeShare() > 0.9);
 }
@@ -106,7 +106,7 @@
 
 struct Shape {
   const char *Name;
-  EngineMake Make;
+  EngineProfile Make;
   int Zones;
   int EnginesPerZone;
   int Hosts;
--- a/Tests/LibServing/TestReplicaAutoscaler.cpp
+++ b/Tests/LibServing/TestReplicaAutoscaler.cpp
@@ -85,7 +85,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(replica_plan)
+BOOST_AUTO_TEST_SUITE(replica_autoscaler)
 
 BOOST_AUTO_TEST_CASE(reclaimable_replicas_take_the_place_of_dearer_ones) {
   Cloud cloud;
--- a/Tests/LibServing/TestSmallParts.cpp
+++ b/Tests/LibServing/TestSmallParts.cpp
@@ -46,7 +46,7 @@
 }
 
 BOOST_AUTO_TEST_SUITE_END()
-BOOST_AUTO_TEST_SUITE(true_time)
+BOOST_AUTO_TEST_SUITE(fleet_clock)
 
 // One host's wall clock was two seconds off when its process started. Its usage
 // windows would end early and bill the wrong ones.
@@ -106,7 +106,7 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(store_reach)
+BOOST_AUTO_TEST_SUITE(store_reachability)
 
 // The store closes all watches for a moment. If each host that queries it
 // reported at once that it can't reach the store, all aggregators would be
--- a/Tests/LibServing/TestTeamRateLimiter.cpp
+++ b/Tests/LibServing/TestTeamRateLimiter.cpp
@@ -61,7 +61,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(team_meter)
+BOOST_AUTO_TEST_SUITE(team_rate_limiter)
 
 BOOST_AUTO_TEST_CASE(a_team_within_its_allotment_is_never_refused) {
   Fleet fleet(7);
@@ -170,7 +170,7 @@
       const PeerUsage use{IncarnationId("1"), 0, false, false, {},
                           reportedPeerLevel};
       high.notePeer(SourceId(peer), use, now);
-      high.agree(now);
+      high.converge(now);
       low.notePeer(SourceId(peer), use, now);
     }
   BOOST_TEST(high.level() < 1000);
@@ -178,7 +178,7 @@
   const double before = low.level();
   low.notePeer(SourceId("a"), {IncarnationId("1"), 0, false, false, {}, 500.0},
                now);
-  low.agree(now);
+  low.converge(now);
   BOOST_TEST(low.level() > before);
 }
 
@@ -272,7 +272,7 @@
     limiter.notePeer(SourceId("a"),
                      {IncarnationId("1"), 0, false, false, {}, -67000.0 * Rate},
                      now);
-    limiter.agree(now);
+    limiter.converge(now);
   }
   BOOST_TEST(limiter.take(1, 0, Burst, now));
   BOOST_TEST(limiter.level() >= -8.0 * Rate - Burst);
--- a/Tests/platform/TestTranslation.cpp
+++ b/Tests/platform/TestTranslation.cpp
@@ -140,7 +140,7 @@
       {{429, {}, {}}, false},
       {{500, {}, {}}, false}};
   for (const auto &[head, isNotRun] : cases)
-    BOOST_TEST(parseUpstreamReplyInfo(head).IsNotRun == isNotRun);
+    BOOST_TEST(parseUpstreamReplyInfo(head).DidNotRun == isNotRun);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Tests/sorrelbayd/GatewayFixture.cpp
+++ b/Tests/sorrelbayd/GatewayFixture.cpp
@@ -262,7 +262,7 @@
   out.ReadReplyInfo = [](const HttpReplyHead &head) {
     UpstreamReplyInfo verdict;
     verdict.Id = headerValue(head.Headers, "X-Call");
-    verdict.IsNotRun = hasHeader(head.Headers, "X-Not-Run");
+    verdict.DidNotRun = hasHeader(head.Headers, "X-Not-Run");
     return verdict;
   };
   out.ResponseHeaders = [](const HttpHeaders &) { return HttpHeaders{}; };
--- a/Tests/sorrelbayd/TestDutyLease.cpp
+++ b/Tests/sorrelbayd/TestDutyLease.cpp
@@ -64,7 +64,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(duty_keeper)
+BOOST_AUTO_TEST_SUITE(duty_lease)
 
 // All hosts are killed and start again. If a host waited for the lease of its
 // own earlier process to expire, no host would order replicas or report usage
--- a/Tests/sorrelbayd/TestRolloutExchange.cpp
+++ b/Tests/sorrelbayd/TestRolloutExchange.cpp
@@ -66,7 +66,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(RolloutShareTests)
+BOOST_AUTO_TEST_SUITE(RolloutExchangeTests)
 
 BOOST_AUTO_TEST_CASE(knowledge_survives_its_encoding) {
   RolloutKnowledge known;
@@ -114,8 +114,9 @@
   second.tick(bundle, now());
   BOOST_CHECK_EQUAL(callsToNew(second, bundle), 0);
   BOOST_REQUIRE_EQUAL(second.rolloutViews(bundle).size(), 1U);
-  const MoveStatus status = statusOf(second.rolloutViews(bundle).front(), 2);
-  BOOST_CHECK(status.State == MoveState::TakenBack);
+  const RolloutStatusObject status =
+      statusOf(second.rolloutViews(bundle).front(), 2);
+  BOOST_CHECK(status.State == PublishedRolloutState::TakenBack);
   BOOST_CHECK_EQUAL(status.Reason.find("failures"), 0U);
   secondExchange.writeStatus(second.rolloutViews(bundle).front(), 2);
   BOOST_CHECK_EQUAL(stored.Objects.count("status/moves/v2"), 1U);
--- a/Utilities/sorrelbay-bench/Canary.cpp
+++ b/Utilities/sorrelbay-bench/Canary.cpp
@@ -23,7 +23,7 @@
 /// A measured policy: the product's, or a baseline.
 struct MeasuredPolicy {
   std::string Name;
-  std::function<MoveResult(const CanaryScenario &, std::uint64_t)> Run;
+  std::function<RolloutResult(const CanaryScenario &, std::uint64_t)> Run;
 };
 
 /// Four stages of equal length; rolled back at more than three times the usual
@@ -57,7 +57,7 @@
 
 std::vector<MeasuredPolicy> policies() {
   const auto whole = [](const CanaryScenario &scenario, std::uint64_t seed) {
-    return runMove(scenario, seed);
+    return runRollout(scenario, seed);
   };
   const auto ladder = [](const CanaryScenario &scenario, std::uint64_t seed) {
     return runBaseline(scenario, seed, fixedLadder());
@@ -89,7 +89,7 @@
     scenario.EndsWhenRolledBack = true;
     const double calls = scenario.CallsPerSecond * toSeconds(scenario.Deadline);
     for (std::uint64_t n = 0; n < BadRolloutsPerSeed; ++n) {
-      const MoveResult result =
+      const RolloutResult result =
           policy.Run(scenario, seed * BadRolloutsPerSeed + n);
       const auto toFault = static_cast<double>(result.CallsToFault);
       const auto toNew = static_cast<double>(result.CallsToNew);
@@ -121,7 +121,7 @@
       scenario.SlowFrom = 0.3;
       scenario.SlowUntil = 0.45;
     }
-    const MoveResult result =
+    const RolloutResult result =
         policy.Run(scenario, seed * GoodRolloutsPerSeed + n);
     const double rolloutWeight =
         Percent / static_cast<double>(GoodRolloutsPerSeed);
--- a/Utilities/sorrelbay-bench/CanaryModel.cpp
+++ b/Utilities/sorrelbay-bench/CanaryModel.cpp
@@ -161,7 +161,7 @@
     }
   }
 
-  MoveResult run() {
+  RolloutResult run() {
     for (std::size_t n = 0; n < Daemons.size(); ++n) {
       startDaemon(n);
       tick(n);
@@ -205,7 +205,7 @@
   bool HasReferenceVeto = false;
   std::optional<Instant> VetoAt;
   bool IsFullInTime = false;
-  MoveResult Result;
+  RolloutResult Result;
 
   bool isOver() const {
     return Scenario.EndsWhenRolledBack && VetoAt &&
@@ -258,7 +258,7 @@
     if (!Variant.JudgesAfterFullShare && isFull &&
         daemon.Knowledge.Vetoes.empty())
       return;
-    daemon.OwnRollout->refreshed(Variant.MindsStaleness
+    daemon.OwnRollout->refreshed(Variant.ChecksStaleness
                                      ? daemon.Freshness.knownUntil(peers())
                                      : Now + hours(1));
     daemon.OwnRollout->update(daemon.Knowledge, Now);
@@ -490,18 +490,18 @@
 
 } // namespace
 
-MoveResult runMove(const CanaryScenario &scenario, std::uint64_t seed,
-                   const CanaryVariant &variant,
-                   const RolloutSettings &settings) {
+RolloutResult runRollout(const CanaryScenario &scenario, std::uint64_t seed,
+                         const CanaryVariant &variant,
+                         const RolloutSettings &settings) {
   return RolloutRun(scenario, seed, variant, settings).run();
 }
 
-MoveResult runBaseline(const CanaryScenario &scenario, std::uint64_t seed,
-                       const BaselinePolicy &policy) {
+RolloutResult runBaseline(const CanaryScenario &scenario, std::uint64_t seed,
+                          const BaselinePolicy &policy) {
   std::mt19937_64 random(seed);
   UpstreamModel calls(scenario, random);
   std::exponential_distribution<> gap(scenario.CallsPerSecond);
-  MoveResult result;
+  RolloutResult result;
   EvidenceCount seen;
   double share = 0;
   for (Instant now = Start; now < Start + scenario.Deadline;
--- a/Utilities/sorrelbay-bench/CanaryModel.h
+++ b/Utilities/sorrelbay-bench/CanaryModel.h
@@ -76,11 +76,11 @@
   bool JudgesPerRoute = true;
   bool JudgesAfterFullShare = true;
   bool PacksReplicas = true;
-  bool MindsStaleness = true;
+  bool ChecksStaleness = true;
 };
 
 /// The result of one rollout.
-struct MoveResult {
+struct RolloutResult {
   /// Calls until the deadline, or until the simulation ended before it.
   std::uint64_t Calls = 0;
   /// CallsToNew are the calls to the new version until the deadline.
@@ -110,9 +110,9 @@
 
 /// Simulates one rollout in which every daemon runs the product's decision
 /// code. The same seed gives the same result.
-MoveResult runMove(const CanaryScenario &scenario, std::uint64_t seed,
-                   const CanaryVariant &variant = {},
-                   const RolloutSettings &settings = {});
+RolloutResult runRollout(const CanaryScenario &scenario, std::uint64_t seed,
+                         const CanaryVariant &variant = {},
+                         const RolloutSettings &settings = {});
 
 /// A baseline policy, which receives the outcome of every call without delay.
 struct BaselinePolicy {
@@ -125,8 +125,8 @@
 
 /// Simulates one rollout under a baseline policy. The same seed gives the same
 /// result.
-MoveResult runBaseline(const CanaryScenario &scenario, std::uint64_t seed,
-                       const BaselinePolicy &policy);
+RolloutResult runBaseline(const CanaryScenario &scenario, std::uint64_t seed,
+                          const BaselinePolicy &policy);
 
 /// The scenarios of both deployments without a fault: one for the model service
 /// and one for the desk service of each.
--- a/Utilities/sorrelbay-bench/EngineFleet.cpp
+++ b/Utilities/sorrelbay-bench/EngineFleet.cpp
@@ -27,7 +27,7 @@
   return bounds;
 }
 
-EngineShape shapeOf(const EngineMake &make) {
+EngineShape shapeOf(const EngineProfile &make) {
   EngineShape shape;
   shape.Slots = make.Slots;
   shape.MemoryTokens = make.MemoryTokens;
@@ -59,7 +59,7 @@
   for (int n = 0; n < plan.EnginesPerZone; ++n)
     for (int zone = 0; zone < plan.Zones; ++zone)
       addEngine(zone, true);
-  Engines.front().SlowdownFactor = plan.FirstIsSlower;
+  Engines.front().SlowdownFactor = plan.FirstEngineSlowdown;
   for (const PromptKind &it : plan.Kinds)
     Limits.add({Service, it.Priority, it.Target});
   Result.ByKind.resize(plan.Kinds.size());
@@ -186,7 +186,7 @@
   Host &host = *Hosts[call.Host];
   host.Table.noteFirstByte(engine.Id, call.Work);
   const FirstTokenSample firstTokenSample{call.Choice.TokensToPrefill +
-                                              call.Choice.Ahead,
+                                              call.Choice.TokensAhead,
                                           call.FirstAt - call.SentAt};
   host.Table.noteFirstToken(engine.Id, firstTokenSample, Now);
 }
@@ -268,8 +268,8 @@
 }
 
 bool EngineFleet::lacksReclaimableHosts(int zone) const {
-  return std::any_of(Plan.Losses.begin(), Plan.Losses.end(),
-                     [&](const ZoneLoss &it) {
+  return std::any_of(Plan.ZoneReclaims.begin(), Plan.ZoneReclaims.end(),
+                     [&](const ZoneReclaim &it) {
                        const double at = toSeconds(Now - Start);
                        return it.Zone == zone && at >= it.AtSeconds &&
                               at < it.AtSeconds + it.UnavailableSeconds;
@@ -279,7 +279,7 @@
 /// Marks the reclaimable engines of zones with a reclaim notice as leaving, and
 /// removes them when the notice expires.
 void EngineFleet::reclaimZones() {
-  for (const ZoneLoss &loss : Plan.Losses) {
+  for (const ZoneReclaim &loss : Plan.ZoneReclaims) {
     const double at = toSeconds(Now - Start) - loss.AtSeconds;
     for (auto it = Engines.begin(); it != Engines.end();) {
       const bool isInReclaimedZone = it->Zone == loss.Zone && it->IsReclaimable;
--- a/Utilities/sorrelbay-bench/EngineFleet.h
+++ b/Utilities/sorrelbay-bench/EngineFleet.h
@@ -16,7 +16,7 @@
 
 /// Speed and sizes of one type of engine. In each step it prefills up to one
 /// chunk of prompt tokens and decodes one token for each running stream.
-struct EngineMake {
+struct EngineProfile {
   double TokensPerMs = 140;
   double StepMs = 2.2;
   double StepMsPerStream = 0.014;
@@ -54,7 +54,7 @@
 /// The reclaim of all reclaimable engines of a zone: they end NoticeSeconds
 /// after the notice at AtSeconds, and the zone provides no reclaimable engines
 /// until UnavailableSeconds after the notice.
-struct ZoneLoss {
+struct ZoneReclaim {
   double AtSeconds = 0;
   int Zone = 0;
   double NoticeSeconds = 2.5;
@@ -67,13 +67,13 @@
   int Hosts = 6;
   int Zones = 3;
   int EnginesPerZone = 6;
-  EngineMake Make;
+  EngineProfile Make;
   std::vector<PromptKind> Kinds;
   std::vector<LoadStep> Load;
-  std::vector<ZoneLoss> Losses;
+  std::vector<ZoneReclaim> ZoneReclaims;
   int Seconds = 30;
   /// Factor by which the steps of the first engine take longer.
-  double FirstIsSlower = 1;
+  double FirstEngineSlowdown = 1;
   /// Whether the replica autoscaler changes the number of engines.
   bool IsScaled = false;
   ReplicaTableSettings Table;
--- a/Utilities/sorrelbay-bench/Overload.cpp
+++ b/Utilities/sorrelbay-bench/Overload.cpp
@@ -17,7 +17,7 @@
   std::function<void(EngineFleetPlan &)> Apply;
 };
 
-EngineFleetPlan planOf(const EngineMake &make, int hosts, int engines,
+EngineFleetPlan planOf(const EngineProfile &make, int hosts, int engines,
                        double perSecond) {
   EngineFleetPlan plan;
   plan.Make = make;
@@ -28,13 +28,13 @@
 }
 
 std::vector<OverloadCase> overloadCases() {
-  const EngineMake slow{38, 4.73, 0.014, 40, 2048, 96, 297000};
-  const EngineMake fast{140, 2.2, 0, 53, 2048, 48, 444000};
+  const EngineProfile slow{38, 4.73, 0.014, 40, 2048, 96, 297000};
+  const EngineProfile fast{140, 2.2, 0, 53, 2048, 48, 444000};
   EngineFleetPlan burstPlan = planOf(slow, 6, 6, 140);
   burstPlan.IsScaled = true;
   burstPlan.Seconds = 50;
   burstPlan.Load = {{0, 0.7}, {28, 1.3}};
-  burstPlan.Losses = {{30, 2}, {35, 1}};
+  burstPlan.ZoneReclaims = {{30, 2}, {35, 1}};
   return {{"below capacity", planOf(slow, 9, 4, 110)},
           {"near capacity", planOf(slow, 9, 3, 110)},
           {"1.5 times", planOf(slow, 9, 2, 110)},
--- a/Utilities/sorrelbay-bench/Placement.cpp
+++ b/Utilities/sorrelbay-bench/Placement.cpp
@@ -468,7 +468,7 @@
   };
   const auto reportsOnly = [](const Deployment &deployment) {
     PlacementSettings settings;
-    settings.MaxRememberedSends = 0;
+    settings.MaxLoadChanges = 0;
     return byCost(deployment, settings);
   };
   const auto noAssumedCache = [](const Deployment &deployment) {
--- a/Utilities/sorrelbay-bench/Recovery.cpp
+++ b/Utilities/sorrelbay-bench/Recovery.cpp
@@ -96,7 +96,7 @@
     recomputed.Values.push_back(static_cast<double>(it.Recomputed));
     ofRestart.Values.push_back(static_cast<double>(it.Recomputed) /
                                static_cast<double>(restarted[i].Recomputed));
-    overload.Values.push_back(it.MostOverload);
+    overload.Values.push_back(it.MaxOverload);
     gap.Values.push_back(toSeconds(it.LongestGap));
     whole.Values.push_back(static_cast<double>(it.Whole) /
                            static_cast<double>(it.Answers));
--- a/Utilities/sorrelbay-bench/RecoveryFleet.h
+++ b/Utilities/sorrelbay-bench/RecoveryFleet.h
@@ -61,7 +61,7 @@
   WireFaults Faults;
   /// Sends tokens to the caller as they arrive, without the checks of
   /// AnswerStream.
-  bool TrustsArrivals = false;
+  bool SkipsTokenChecks = false;
   std::vector<Reclaim> Reclaims;
 };
 
@@ -70,7 +70,7 @@
   std::uint64_t Moved = 0;
   std::uint64_t Resumed = 0;
   /// Most answers beyond its capacity that any engine had.
-  std::uint32_t MostOverload = 0;
+  std::uint32_t MaxOverload = 0;
   /// Longest time between two tokens of an answer.
   Duration LongestGap{};
   std::uint64_t Answers = 0;
@@ -149,7 +149,7 @@
   };
   struct DelayedToken {
     std::size_t Receiver;
-    ArrivedToken Token;
+    ReceivedToken Token;
     std::uint64_t Due;
   };
 
@@ -203,7 +203,7 @@
                        Step,
                        false,
                        at.Id});
-    if (Settings.TrustsArrivals)
+    if (Settings.SkipsTokenChecks)
       for (std::uint64_t i = 0; i < open.TokensSoFar; ++i)
         Callers.back().Received.push_back({i, false, tokenText(index, i)});
     ++Open;
@@ -233,8 +233,7 @@
   void noteLoad(const Engine &engine) {
     const auto n = static_cast<std::uint32_t>(engine.Attempts.size());
     if (n > Settings.Capacity)
-      Result.MostOverload =
-          std::max(Result.MostOverload, n - Settings.Capacity);
+      Result.MaxOverload = std::max(Result.MaxOverload, n - Settings.Capacity);
   }
 
   void step() {
@@ -367,7 +366,7 @@
                               tokenText(attempt.Caller, attempt.Offset)});
   }
 
-  void transmit(std::size_t receiver, const ArrivedToken &token) {
+  void transmit(std::size_t receiver, const ReceivedToken &token) {
     if (happens(Settings.Faults.Lost))
       return;
     if (happens(Settings.Faults.Late)) {
@@ -392,10 +391,10 @@
       arrive(it.Receiver, it.Token);
   }
 
-  void arrive(std::size_t receiver, const ArrivedToken &token) {
+  void arrive(std::size_t receiver, const ReceivedToken &token) {
     Caller &caller = Callers[receiver];
     const TokenVerdict verdict = caller.Answer.take(token);
-    if (Settings.TrustsArrivals)
+    if (Settings.SkipsTokenChecks)
       caller.Received.push_back({caller.Received.size(), false, token.Text});
     if (verdict == TokenVerdict::Taken)
       handleTaken(receiver);
@@ -418,7 +417,7 @@
     perform(Plan.resumed(at(), caller.Description.Request));
   }
 
-  void arriveEnd(std::size_t receiver, const ArrivedEnd &end) {
+  void arriveEnd(std::size_t receiver, const ReceivedEnd &end) {
     Caller &caller = Callers[receiver];
     const EndVerdict verdict = caller.Answer.finish(end);
     if (verdict == EndVerdict::Truncated)
@@ -499,7 +498,7 @@
   /// each of them; it then reconnects after the last event that it received.
   void drain(std::size_t index) {
     Caller &caller = Callers[index];
-    if (Settings.TrustsArrivals)
+    if (Settings.SkipsTokenChecks)
       return;
     while (auto event = caller.Answer.nextEvent()) {
       if (!happens(Settings.Faults.CallerCut)) {
@@ -525,7 +524,7 @@
       text += caller.Received[i].Text;
     }
     const bool hasEnd =
-        Settings.TrustsArrivals ||
+        Settings.SkipsTokenChecks ||
         (!caller.Received.empty() && caller.Received.back().IsEnd);
     return hasEnd && text == undisturbedText;
   }
--- a/Utilities/sorrelbay/StatusCommand.cpp
+++ b/Utilities/sorrelbay/StatusCommand.cpp
@@ -22,8 +22,8 @@
 
 bool hasRolledBack(const StatusReport &report) {
   return std::any_of(report.Moves.begin(), report.Moves.end(),
-                     [&report](const MoveStatus &it) {
-                       return it.State == MoveState::TakenBack &&
+                     [&report](const RolloutStatusObject &it) {
+                       return it.State == PublishedRolloutState::TakenBack &&
                               it.Generation ==
                                   report.Current->Content.Generation;
                      });
--- a/Utilities/sorrelbay/StatusReport.cpp
+++ b/Utilities/sorrelbay/StatusReport.cpp
@@ -16,20 +16,21 @@
 constexpr double MicrosPerCurrencyUnit = 1e6;
 constexpr std::size_t LineBytes = 512;
 
-const char *colourOf(MoveState state) {
+const char *colourOf(PublishedRolloutState state) {
   switch (state) {
-  case MoveState::Moving:
+  case PublishedRolloutState::Moving:
     return Yellow;
-  case MoveState::Done:
+  case PublishedRolloutState::Done:
     return Green;
-  case MoveState::TakenBack:
+  case PublishedRolloutState::TakenBack:
     return Red;
   }
   return Reset;
 }
 
-const char *labelOf(MoveState state) {
-  return state == MoveState::TakenBack ? "taken back" : nameOf(state);
+const char *labelOf(PublishedRolloutState state) {
+  return state == PublishedRolloutState::TakenBack ? "taken back"
+                                                   : nameOf(state);
 }
 
 std::string timeOrDash(Instant at) {
@@ -50,7 +51,7 @@
          ", signed by key " + current->SignedBy.text() + "\n";
 }
 
-std::string rolloutLine(const MoveStatus &status, bool isColoured) {
+std::string rolloutLine(const RolloutStatusObject &status, bool isColoured) {
   const std::string start =
       formatLine("%-20s %-16s %10llu ", status.Version.text().c_str(),
                  status.Service.text().c_str(),
@@ -87,7 +88,7 @@
   out += formatLine("%-20s %-16s %10s %-10s %5s %7s %-20s %10s %-20s %s\n",
                     "VERSION", "SERVICE", "GENERATION", "STATE", "STAGE",
                     "SHARE", "DEADLINE", "COST", "SINCE", "REASON");
-  for (const MoveStatus &it : report.Moves) {
+  for (const RolloutStatusObject &it : report.Moves) {
     out += rolloutLine(it, isColoured);
     for (const RouteEvidence &evidence : it.Evidence)
       out += evidenceLine(evidence);
@@ -102,7 +103,7 @@
     out["bundle"] = {{"generation", report.Current->Content.Generation},
                      {"key", report.Current->SignedBy.text()}};
   out["moves"] = ordered_json::array();
-  for (const MoveStatus &it : report.Moves)
+  for (const RolloutStatusObject &it : report.Moves)
     out["moves"].push_back(ordered_json::parse(encodeMoveStatus(it)));
   return out.dump(-1, ' ', false, ordered_json::error_handler_t::replace) +
          "\n";
--- a/Utilities/sorrelbay/StatusReport.h
+++ b/Utilities/sorrelbay/StatusReport.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "LibOperator/BundleRoll.h"
-#include "LibOperator/MoveStatus.h"
+#include "LibOperator/RolloutStatusObject.h"
 #include <optional>
 #include <string>
 #include <vector>
@@ -11,7 +11,7 @@
 /// The content of `sorrelbay status`.
 struct StatusReport {
   std::optional<CurrentBundle> Current;
-  std::vector<MoveStatus> Moves;
+  std::vector<RolloutStatusObject> Moves;
 };
 
 /// Reads the report from the object API. Throws ObjectApiUnavailable or
--- a/Utilities/sorrelbay/main.cpp
+++ b/Utilities/sorrelbay/main.cpp
@@ -1,7 +1,7 @@
 #include "Commands.h"
 #include "LibBase/TomlReader.h"
 #include "LibOperator/BundleRoll.h"
-#include "LibOperator/MoveStatus.h"
+#include "LibOperator/RolloutStatusObject.h"
 #include "WholeFile.h"
 #include <iostream>
 
