--- a/Services/sorrelbayd/Daemon.cpp
+++ b/Services/sorrelbayd/Daemon.cpp
@@ -22,7 +22,7 @@
 /// The minimum interval between two requests for load reports. Each request
 /// costs about 0.2 ms of processor time, which for hundreds of engines would
 /// exceed the processor time allowed for the control plane. An upstream whose
-/// last report is stale is asked before it receives new calls, so a slower
+/// last report is stale is queried before it receives new calls, so a slower
 /// round only makes the load estimates less accurate.
 static constexpr Duration MinLoadPollInterval = milliseconds(25);
 static constexpr Duration WatchRetryDelay = milliseconds(200);
@@ -114,7 +114,7 @@
              static_cast<std::int64_t>(areAllDone ? 0 : Open.count()));
   // Callers cache an address for its time to live, and the peers list it until
   // they have received the update. If the port closed earlier, a caller that
-  // sends at that moment would see its connection reset and could not know
+  // sends at that moment would have its connection reset with no indication of
   // whether its call ran.
   std::this_thread::sleep_until(start + 2 * Settings.AddressTimeToLive);
 }
@@ -305,7 +305,8 @@
 void Daemon::scheduleHandover(Instant at) {
   Open.beginStop();
   const std::lock_guard<std::mutex> lock(StopMutex);
-  // Answers may end by themselves during the first half of the notice period.
+  // Some answers end during the first half of the notice period and need no
+  // handover.
   const Instant start = now();
   HandoverAt = start + std::max(Duration{}, at - start) / 2;
 }
--- a/Services/sorrelbayd/Daemon.h
+++ b/Services/sorrelbayd/Daemon.h
@@ -71,7 +71,7 @@
   void tickRollouts();
   void exchangeRollouts();
   void onPeerKnowledge(const PeerKnowledge &incoming);
-  /// Called when a peer has sent all that it knew at the given time.
+  /// Called when a peer has sent all knowledge that it had at the given time.
   void onPeerFreshness(const HostId &peer, Instant askedAt);
 
   const DaemonSettings Settings;
--- a/Services/sorrelbayd/Gateway.cpp
+++ b/Services/sorrelbayd/Gateway.cpp
@@ -16,12 +16,12 @@
 constexpr Duration TickInterval = milliseconds(250);
 /// Most addresses in the response to an address lookup.
 constexpr std::size_t MaxLookupAddresses = 64;
-/// How long callers keep an address from a lookup, unless AddressTimeToLive is
+/// How long callers cache an address from a lookup, unless AddressTimeToLive is
 /// shorter.
 constexpr Duration LookupTimeToLive = seconds(2);
 /// While the host stops, connections are closed after this time without a
-/// request. Callers need the time to learn of the stop from their address
-/// lookups.
+/// request. The time lets callers look up the addresses again, without this
+/// host, before their connections close.
 constexpr Duration IdleTimeoutWhileStopping = milliseconds(1200);
 /// Number of times that a view of the store is confirmed within the tightest
 /// bound on its age.
--- a/Services/sorrelbayd/GatewayCall.cpp
+++ b/Services/sorrelbayd/GatewayCall.cpp
@@ -202,8 +202,8 @@
   abortResponse("deadline");
 }
 
-/// Takes one retry of this call out of the retry budget; false if none is left
-/// or the route's attempts are used up.
+/// Deducts one retry of this call from the retry budget. Returns false if none
+/// is left or the route's attempts are used up.
 bool GatewayCall::takeRetryFromBudget() {
   if (RetryState->sends() >= Route->MaxAttempts)
     return false;
@@ -525,7 +525,7 @@
 }
 
 /// Aborts a response that has begun and cannot be completed, so that its caller
-/// can tell.
+/// does not mistake it for a complete one.
 void GatewayCall::abortResponse(const char *cause) {
   log("cut", CurrentSend.Head.Status, cause);
   IsDone = true;
--- a/Services/sorrelbayd/GatewayFleet.cpp
+++ b/Services/sorrelbayd/GatewayFleet.cpp
@@ -16,8 +16,8 @@
 /// after the start, when all hosts may have started together, then long.
 constexpr Duration FirstLookupInterval = milliseconds(500);
 constexpr Duration LookupInterval = seconds(10);
-/// In a large fleet, a host that does not aggregate learns of others from the
-/// peers of its group and from its aggregator; a new host announces itself to
+/// In a large fleet, a host that does not aggregate discovers others through
+/// the peers of its group and its aggregator; a new host announces itself to
 /// the peers of its group.
 constexpr Duration RareLookupInterval = seconds(60);
 constexpr int FirstLookupCount = 3;
@@ -233,8 +233,8 @@
   for (const RelayedChanges &it : parts)
     Link->send(peers, encodeFleetMessage(it));
   for (const HostId &it : peers) {
-    // A host that has not sent a report yet learns what changed, but not how
-    // old the changes are.
+    // A host that has not sent a report yet receives the changes without their
+    // age.
     const auto echo = PeerClocks.find(it);
     last.Echo = echo == PeerClocks.end() ? 0 : echo->second;
     Link->send({it}, encodeFleetMessage(last));
--- a/Services/sorrelbayd/GatewayRollouts.h
+++ b/Services/sorrelbayd/GatewayRollouts.h
@@ -13,7 +13,7 @@
 /// Performs the rollouts that operators order in the store: chooses the version
 /// for each call, collects evidence on the old and new version, and maintains
 /// each order's status. Every host judges the new version by the evidence of
-/// all hosts and rolls it back by its own decision; the holder of the duties
+/// all hosts and rolls it back independently; the holder of the duties
 /// writes the status. Times are fleet time (FleetClock), since hosts exchange
 /// them. Used only on the event loop's thread.
 class GatewayRollouts {
--- a/Services/sorrelbayd/GatewaySettings.h
+++ b/Services/sorrelbayd/GatewaySettings.h
@@ -54,7 +54,7 @@
   std::int64_t TrialSlack = 0;
   /// Longest time from a version showing a fault until it gets no more calls.
   Duration TrialEnd{};
-  /// Longest time that callers keep an address from a lookup.
+  /// Longest time that callers cache an address from a lookup.
   Duration AddressTimeToLive{};
 };
 
--- a/Services/sorrelbayd/PeerMessaging.h
+++ b/Services/sorrelbayd/PeerMessaging.h
@@ -32,8 +32,8 @@
 
   /// Set the hooks that are called when a peer's bundle has come into force,
   /// for other knowledge that a peer sends, and when a peer has confirmed that
-  /// all it knew at a time is known here. The hooks are called on the mesh's
-  /// thread and must not block. Before start() only.
+  /// it has sent all knowledge that it had at a given time. The hooks are
+  /// called on the mesh's thread and must not block. Before start() only.
   void onBundle(std::function<void()> hook);
   void onKnowledge(std::function<void(const PeerKnowledge &)> hook);
   void onFresh(std::function<void(const HostId &, Instant)> hook);
--- a/Services/sorrelbayd/ReplicaOrders.cpp
+++ b/Services/sorrelbayd/ReplicaOrders.cpp
@@ -91,9 +91,9 @@
 }
 
 /// Sends the next order as soon as the rate limit allows. After a reclaim, the
-/// orders for all zones are due at the same time; waiting for the next tick
-/// would leave the service without the ordered replicas for up to a quarter of
-/// a second more each.
+/// orders for all zones are due at the same time; if each
+/// waited for the next tick, its replicas would be ordered up to a quarter of a
+/// second later.
 void ReplicaOrders::scheduleSend(Instant at) {
   SendTimer.expires_after(at - bootNow());
   SendTimer.async_wait([this](boost::system::error_code ec) {
--- a/Services/sorrelbayd/ReplicaOrders.h
+++ b/Services/sorrelbayd/ReplicaOrders.h
@@ -9,9 +9,9 @@
 
 namespace sorrelbay {
 
-/// Orders replicas from the cloud, as the autoscaler of each scalable service
-/// decides, while this host holds the duties: one order at a time, within the
-/// cloud's rate limit. Used only on the event loop's thread.
+/// While this host holds the duties, orders replicas from the cloud as the
+/// autoscaler of each scalable service decides. Orders are sent one at a time,
+/// within the cloud's rate limit. Used only on the event loop's thread.
 class ReplicaOrders {
 public:
   ReplicaOrders(GatewayState &state, const DutyLease &duties);
--- a/Services/sorrelbayd/RolloutExchange.cpp
+++ b/Services/sorrelbayd/RolloutExchange.cpp
@@ -96,7 +96,8 @@
   return sum;
 }
 
-/// The knowledge of daemons differs slightly. A less advanced status must not
+/// Whether the status is more advanced than the stored one. Daemons may have
+/// different knowledge at the same time, and a less advanced status must not
 /// overwrite a more advanced one.
 static bool isMoreAdvanced(const RolloutStatusObject &status,
                            const RolloutStatusObject &known) {
--- a/Services/sorrelbayd/RolloutExchange.h
+++ b/Services/sorrelbayd/RolloutExchange.h
@@ -9,7 +9,7 @@
 /// Stores the daemons' knowledge of rollouts in the object API, one object per
 /// host, and writes each rollout's status for operators. Peers also exchange
 /// this knowledge directly; the objects serve daemons that start while no peer
-/// is alive.
+/// is running.
 class RolloutExchange {
 public:
   RolloutExchange(ObjectApi objects, HostId self, RolloutTracker &tracker);
--- a/Services/sorrelbayd/RolloutTracker.cpp
+++ b/Services/sorrelbayd/RolloutTracker.cpp
@@ -88,7 +88,7 @@
   if (at > LastTickAt + MaxTickInterval)
     ResumedAt = at;
   LastTickAt = at;
-  // A daemon that runs without a pause can rely on its own judgement. After a
+  // While a daemon runs without a pause, its own verdict is sufficient. After a
   // pause it first needs the knowledge that it may have missed.
   const bool isCurrent = RefreshedAt >= ResumedAt;
   for (auto &it : ActiveRollouts)
--- a/Services/sorrelbayd/RolloutTracker.h
+++ b/Services/sorrelbayd/RolloutTracker.h
@@ -49,7 +49,8 @@
   RolloutKnowledge ownKnowledge();
   /// Merges the knowledge of another daemon.
   void receive(const RolloutKnowledge &incoming);
-  /// Records that all that the others knew at the given time is known here.
+  /// Records that this daemon has all knowledge that the others had at the
+  /// given time.
   void refreshed(Instant askedAt);
 
   std::vector<RolloutView> rolloutViews(const Bundle &bundle);
--- a/Services/sorrelbayd/UpstreamTable.h
+++ b/Services/sorrelbayd/UpstreamTable.h
@@ -46,9 +46,9 @@
   void applyNotice(const ReclaimNotice &notice);
   void applyLoad(const UpstreamId &upstream, const EngineLoad &load,
                  Instant askedAt);
-  /// Applies the notices of leaving upstreams that peers know.
+  /// Applies the notices of leaving upstreams that peers have published.
   void applyPeerNotices(const std::vector<LeavingNotice> &notices);
-  /// The notices of leaving upstreams that this daemon knows.
+  /// The notices of leaving upstreams that this daemon has received.
   std::vector<LeavingNotice> leavingNotices(Instant at) const;
   /// To be called periodically; a long gap between two ticks means that the
   /// process was paused.
@@ -59,7 +59,7 @@
 
   /// Chooses an upstream and counts the call as open there. If an upstream was
   /// chosen, finish() must be called for it. An engine that has not recently
-  /// confirmed that it stays is asked first, without the lock held.
+  /// confirmed that it stays is queried first, without the lock held.
   PlacementChoice begin(const PlacementRequest &request, Instant at);
   void finish(const UpstreamId &upstream, const ConversationKey &conversation,
               std::int64_t tokens, Instant at);
--- a/Services/sorrelbayd/UsageRecord.h
+++ b/Services/sorrelbayd/UsageRecord.h
@@ -13,8 +13,8 @@
   using Error::Error;
 };
 
-/// A window whose counts are final: whichever host reports the window reports
-/// these.
+/// A window whose counts are final: every report of the window, by whichever
+/// host, contains these counts.
 struct SettledWindow {
   TeamCounts Counts;
   bool IsAccepted = false;
--- a/Services/sorrelbayd/main.cpp
+++ b/Services/sorrelbayd/main.cpp
@@ -26,9 +26,10 @@
   return set;
 }
 
-/// The timeout of a call to the platform, and the time by which a watch may
-/// exceed its wait limit.
+/// The timeout of a call to the platform; the call is cancelled and fails.
 static constexpr Duration PlatformCallTimeout = milliseconds(800);
+/// A watch of the platform is cancelled and fails this long after its wait
+/// limit.
 static constexpr Duration PlatformWatchMargin = milliseconds(400);
 
 static std::string readFile(const std::string &path) {
@@ -42,7 +43,7 @@
   return text.str();
 }
 
-/// Parses the settings, or prints every fault and exits.
+/// Parses the settings; on failure, prints every fault and exits.
 template <typename Settings>
 static Settings readSettings(const std::string &text, const std::string &path,
                              Settings (*parse)(const std::string &,
--- a/Tests/platform/TestTranslation.cpp
+++ b/Tests/platform/TestTranslation.cpp
@@ -71,10 +71,10 @@
   BOOST_TEST((plan.Limits.IdleTimeout == seconds(15)));
 }
 
-// An entry may be written by a component other than an upstream. Read with
-// default fields it would receive calls; treated as an error of the whole
-// listing it would hide all other upstreams.
-BOOST_AUTO_TEST_CASE(entries_that_can_not_be_read_name_no_upstream) {
+// A component other than an upstream may write a malformed entry. With default
+// values for its invalid fields, the entry would receive calls; as a failure of
+// the whole listing, it would hide all other upstreams.
+BOOST_AUTO_TEST_CASE(malformed_upstream_entries_are_refused) {
   const std::pair<const char *, const char *> changes[] = {
       {"Service", "7"},     {"Service", "null"},  {"Address", "[]"},
       {"State", "\"odd\""}, {"Zone", "{}"},       {"Slots", "\"x\""},
@@ -108,8 +108,8 @@
 }
 
 // A caller sets the headers of another team, or of the KV cache of another
-// call, in its request. Forwarded, its call would be billed to that team or
-// read the prompt of that call.
+// call, in its request. If they were forwarded, the call would be billed to
+// that team or read the prompt of that call.
 BOOST_AUTO_TEST_CASE(an_upstream_gets_the_systems_headers_not_the_callers) {
   UpstreamAttempt attempt;
   attempt.Replica = UpstreamId("i-1");
--- a/Tests/sorrelbayd/GatewayFixture.cpp
+++ b/Tests/sorrelbayd/GatewayFixture.cpp
@@ -116,7 +116,7 @@
   Removed[kind][name] = ++Revision;
 }
 
-void FakeStore::forgetHistory() {
+void FakeStore::discardHistory() {
   const std::lock_guard<std::mutex> lock(Mutex);
   HistoryFrom = ++Revision;
 }
--- a/Tests/sorrelbayd/GatewayFixture.h
+++ b/Tests/sorrelbayd/GatewayFixture.h
@@ -24,7 +24,7 @@
   void remove(ResourceKind kind, const std::string &name);
   void setUnreachable(bool isUnreachable) { IsUnreachable = isUnreachable; }
   /// Discards the change history, so that watchers have to list again.
-  void forgetHistory();
+  void discardHistory();
   /// Number of watches of the kind that have begun.
   int watches(ResourceKind kind) {
     return Watches.at(static_cast<std::size_t>(kind));
@@ -48,13 +48,13 @@
   std::array<std::atomic<int>, ResourceKindCount> Watches{};
 };
 
-/// A gateway with an in-memory store and one upstream that the test scripts,
-/// all in this process. A plan's text is "version;key". The plan has two routes
-/// to the service "desk", both open to the key: "/a/", whose calls must not be
-/// retried, and "/s/", with resumable streams.
+/// A gateway with an in-memory store and one upstream, all in this process. The
+/// test sets the upstream's request handler. A plan's text is "version;key".
+/// The plan has two routes to the service "desk", both open to the key: "/a/",
+/// whose calls must not be retried, and "/s/", with resumable streams.
 class GatewayFixture {
 public:
-  using Answer = std::function<void(std::shared_ptr<HttpExchange>)>;
+  using UpstreamHandler = std::function<void(std::shared_ptr<HttpExchange>)>;
 
   explicit GatewayFixture(Duration keyRemoval = seconds(60),
                           Duration grace = seconds(2));
@@ -79,7 +79,7 @@
   FakeStore Store;
   /// The upstream's request handler. The initial one responds 200 with "ok for"
   /// and the team.
-  Answer Upstream;
+  UpstreamHandler Upstream;
   std::atomic<int> UpstreamCalls{0};
   std::unique_ptr<Gateway> Served;
   std::string CallerAddress;
--- a/Tests/sorrelbayd/TestCallAdmission.cpp
+++ b/Tests/sorrelbayd/TestCallAdmission.cpp
@@ -22,9 +22,9 @@
 
 BOOST_AUTO_TEST_SUITE(CallAdmissionTests)
 
-// The only call slot is taken and chats wait for it when an alarm arrives. In
-// order of arrival, the alarm would reach the technician too late.
-BOOST_AUTO_TEST_CASE(an_alarm_that_comes_last_starts_first) {
+// The only call slot is taken and chat calls wait for it when an alarm call
+// arrives. In order of arrival, the alarm would reach the technician too late.
+BOOST_AUTO_TEST_CASE(an_urgent_call_that_arrives_last_starts_first) {
   CallAdmission admission([](const ServiceId &) { return 1; });
   auto first = admission.acquireSlot(Model, call(0, hours(1)));
   std::mutex mutex;
@@ -48,7 +48,7 @@
 
 // A call can't start before its deadline because the only call slot is taken.
 // The caller must get the refusal at once and not only after the deadline.
-BOOST_AUTO_TEST_CASE(a_hopeless_call_is_refused_while_the_place_is_taken) {
+BOOST_AUTO_TEST_CASE(a_call_that_would_miss_its_deadline_is_refused_at_once) {
   CallAdmission admission([](const ServiceId &) { return 1; });
   const auto first = admission.acquireSlot(Model, call(0, hours(1)));
   BOOST_CHECK_EXCEPTION(admission.acquireSlot(Model, call(0, milliseconds(50))),
--- a/Tests/sorrelbayd/TestDaemonSettings.cpp
+++ b/Tests/sorrelbayd/TestDaemonSettings.cpp
@@ -62,7 +62,7 @@
 
 BOOST_AUTO_TEST_SUITE(DaemonSettingsTests)
 
-BOOST_AUTO_TEST_CASE(good_settings_are_taken) {
+BOOST_AUTO_TEST_CASE(valid_settings_are_accepted) {
   BOOST_TEST(faultsOf(goodSettings()) == "");
   BOOST_TEST(parseDaemonSettings(goodSettings(), "s.toml").Host.text() == "e1");
 }
--- a/Tests/sorrelbayd/TestDutyLease.cpp
+++ b/Tests/sorrelbayd/TestDutyLease.cpp
@@ -17,8 +17,8 @@
   return settings;
 }
 
-/// One host that stands by for the duties. Its store can lose the response to
-/// the next write.
+/// One host that is ready to acquire the duties. Its store can lose the
+/// response to the next write.
 struct DutyLeaseFixture {
   explicit DutyLeaseFixture(Duration lease = milliseconds(300))
       : State(Loop, dutyLeaseSettings(lease), hooks()) {
@@ -69,7 +69,7 @@
 // All hosts are killed and start again. If a host waited for the lease of its
 // own earlier process to expire, no host would order replicas or report usage
 // until then.
-BOOST_AUTO_TEST_CASE(a_host_takes_its_earlier_process_s_lease_at_once) {
+BOOST_AUTO_TEST_CASE(a_host_takes_over_its_earlier_process_s_lease_at_once) {
   DutyLeaseFixture fixture(hours(1));
   fixture.Store.put(ResourceKind::Duties, "duties",
                     R"({"holder":"earlier","host":"host","fencing":7})");
@@ -78,8 +78,9 @@
 }
 
 // The store performs the write that acquires the lease, but its response is
-// lost, and the host learns of it by reading. With the fencing token of an
-// earlier term, its orders would count as those of an earlier holder.
+// lost, and the host finds its lease only by reading the store. With the
+// fencing token of an earlier term, its orders would count as those of an
+// earlier holder.
 BOOST_AUTO_TEST_CASE(
     a_lease_whose_response_was_lost_has_its_own_fencing_token) {
   DutyLeaseFixture fixture;
@@ -92,7 +93,7 @@
 }
 
 // The platform's store assigns no new revision to a write that changes nothing.
-// If a renewal were such a write, other hosts would take the lease for expired,
+// If a renewal were such a write, other hosts would treat the lease as expired,
 // and two hosts would order replicas alternately.
 BOOST_AUTO_TEST_CASE(each_renewal_is_seen_by_others) {
   DutyLeaseFixture fixture;
--- a/Tests/sorrelbayd/TestGateway.cpp
+++ b/Tests/sorrelbayd/TestGateway.cpp
@@ -21,7 +21,7 @@
   fixture.Store.put(ResourceKind::Plan, "main", "2;key");
   fixture.Store.put(ResourceKind::Plan, "other", "malformed");
   fixture.Store.put(ResourceKind::Plan, "main", "bytes");
-  fixture.Store.forgetHistory();
+  fixture.Store.discardHistory();
   fixture.Store.put(ResourceKind::Plan, "main", "4;second");
   fixture.callUntil(200, "second");
   BOOST_TEST(fixture.call("key").Status == 401);
@@ -42,7 +42,7 @@
   BOOST_TEST(fixture.call("key").Status == 401);
 }
 
-BOOST_AUTO_TEST_CASE(a_leaving_upstream_gets_nothing_and_the_call_is_refused) {
+BOOST_AUTO_TEST_CASE(a_leaving_upstream_gets_no_calls_and_the_call_is_refused) {
   GatewayFixture fixture;
   fixture.callUntil(200, "key");
   fixture.addReplica("r1", true);
@@ -57,7 +57,8 @@
 
 // Operators evacuate a zone before it loses its power: calls must stop going
 // there.
-BOOST_AUTO_TEST_CASE(an_evacuated_zone_gets_no_calls_until_it_is_taken_back) {
+BOOST_AUTO_TEST_CASE(
+    an_evacuated_zone_gets_no_calls_until_its_evacuation_ends) {
   GatewayFixture fixture;
   fixture.callUntil(200, "key");
   fixture.Store.put(ResourceKind::Evacuations, "another", "{}");
@@ -72,9 +73,9 @@
   fixture.callUntil(200, "key");
 }
 
-// A response is lost after the call may have run. If its caller were told that
-// it did not run, it would send it again and make a second booking.
-BOOST_AUTO_TEST_CASE(a_lost_answer_is_not_called_not_run) {
+// A response is lost after the call may have run. If the call were reported as
+// not run, its caller would retry it and make a second booking.
+BOOST_AUTO_TEST_CASE(a_lost_response_is_not_reported_as_not_run) {
   GatewayFixture fixture;
   fixture.callUntil(200, "key");
   fixture.addReplica("r2");
@@ -111,8 +112,8 @@
   BOOST_TEST(hasHeader(reply.Headers, "Retry-After"));
 }
 
-// A replica is reclaimed in the middle of a stream, and of an event. Its caller
-// would get half a response, or the same tokens twice.
+// A replica is reclaimed in the middle of an event of a stream. The caller must
+// get neither a part of the response nor the same tokens twice.
 BOOST_AUTO_TEST_CASE(a_resumable_stream_goes_on_at_another_upstream) {
   GatewayFixture fixture;
   fixture.addReplica("r2");
@@ -154,7 +155,7 @@
 
 /// Responds with the replica's name; with `isNewBad`, replicas of the new
 /// version respond 500.
-GatewayFixture::Answer versionedAnswer(bool isNewBad) {
+GatewayFixture::UpstreamHandler versionedHandler(bool isNewBad) {
   return [isNewBad](const std::shared_ptr<HttpExchange> &it) {
     const std::string replica = headerValue(it->request().Headers, "X-Replica");
     const bool isBad = isNewBad && replica.substr(0, 3) == "new";
@@ -167,10 +168,11 @@
 } // namespace
 
 // Operators order a version that fails every call. Its replicas register like
-// any others and would get half of all calls if the order were not read.
-BOOST_AUTO_TEST_CASE(a_bad_version_is_taken_back_and_gets_few_calls) {
+// any others and would get half of all calls if the host did not read the
+// order.
+BOOST_AUTO_TEST_CASE(a_bad_version_is_rolled_back_and_gets_few_calls) {
   GatewayFixture fixture;
-  fixture.Upstream = versionedAnswer(true);
+  fixture.Upstream = versionedHandler(true);
   fixture.callUntil(200, "key");
   fixture.Store.put(ResourceKind::Moves, "desk", "v2");
   fixture.addReplica("new1");
@@ -182,7 +184,7 @@
 
 BOOST_AUTO_TEST_CASE(a_good_version_gets_all_calls_in_time) {
   GatewayFixture fixture;
-  fixture.Upstream = versionedAnswer(false);
+  fixture.Upstream = versionedHandler(false);
   fixture.callUntil(200, "key");
   fixture.Store.put(ResourceKind::Moves, "desk", "v2");
   fixture.addReplica("new1");
@@ -191,10 +193,9 @@
     BOOST_TEST(fixture.call("key").Body == "new1");
 }
 
-// An upstream accepts four connections from all hosts together and resets those
-// beyond it. A call on one of those may have run, and its caller could not be
-// told whether it did.
-BOOST_AUTO_TEST_CASE(no_more_connections_are_opened_than_an_upstream_takes) {
+// An upstream accepts four connections from all hosts together and resets any
+// further ones. Whether a call on a reset connection has run is unknown.
+BOOST_AUTO_TEST_CASE(no_more_connections_are_opened_than_an_upstream_accepts) {
   GatewayFixture fixture;
   fixture.callUntil(200, "key");
   std::vector<std::shared_ptr<HttpExchange>> open;
--- a/Tests/sorrelbayd/TestLiveAnswer.cpp
+++ b/Tests/sorrelbayd/TestLiveAnswer.cpp
@@ -44,7 +44,7 @@
 
 // The entry host stops and a peer continues the answer. Tokens that arrive
 // after the state for the peer was copied must neither be lost nor sent twice.
-BOOST_AUTO_TEST_CASE(a_handed_over_answer_misses_and_repeats_nothing) {
+BOOST_AUTO_TEST_CASE(a_handed_over_answer_loses_and_repeats_no_token) {
   LiveAnswer here(request(), AnswerStream(Own));
   Caller caller;
   const std::uint64_t reader = here.beginReading(std::nullopt);
@@ -73,7 +73,7 @@
 
 // No peer accepts the answer. Tokens that arrived during the handover must
 // reach the caller.
-BOOST_AUTO_TEST_CASE(an_answer_that_no_peer_takes_goes_on_here) {
+BOOST_AUTO_TEST_CASE(an_answer_that_no_peer_accepts_continues_here) {
   LiveAnswer here(request(), AnswerStream(Own));
   Caller caller;
   const std::uint64_t reader = here.beginReading(std::nullopt);
--- a/Tests/sorrelbayd/TestReplicaOrders.cpp
+++ b/Tests/sorrelbayd/TestReplicaOrders.cpp
@@ -20,8 +20,8 @@
   return settings;
 }
 
-/// The holder of the duties with a cloud that accepts all orders and a service
-/// of engines in four zones.
+/// A host that can hold the duties, a cloud that accepts all orders, and a
+/// service with one engine in each of four zones.
 struct ReplicaOrdersFixture {
   ReplicaOrdersFixture() : State(Loop, replicaOrdersSettings(), hooks()) {
     State.Self = [] {
@@ -58,7 +58,7 @@
     return out;
   }
 
-  void takeDuties() {
+  void acquireDuties() {
     // A host that has just started first waits for reports of others.
     for (int n = 0; n < 1000 && !Duties.isHeld(bootNow()); ++n) {
       Duties.tick(bootNow());
@@ -80,12 +80,12 @@
 
 BOOST_AUTO_TEST_SUITE(replica_orders)
 
-// Two zones are reclaimed and the orders for all zones are due at once. With
-// one order for each tick, the last would be a second late, and calls would
-// wait that much longer.
+// Two zones are reclaimed and the orders for all zones are due at once. If only
+// one order were sent in each tick, the last would be a second late, and calls
+// would wait that much longer.
 BOOST_AUTO_TEST_CASE(orders_that_are_due_do_not_wait_for_the_next_tick) {
   ReplicaOrdersFixture fixture;
-  fixture.takeDuties();
+  fixture.acquireDuties();
   BOOST_TEST_REQUIRE(fixture.Duties.isHeld(bootNow()));
   fixture.Orders.tick(bootNow());
   for (int n = 0; n < 200 && fixture.Ordered.size() < 4; ++n) {
@@ -96,8 +96,8 @@
 }
 
 // A rollout is complete and the old version's replicas stop, but their entries
-// stay for seconds. Counted as serving, they would make the new version's
-// replicas superfluous, and nearly all of those would be removed.
+// stay for seconds. If they counted as serving, nearly all replicas of the new
+// version would be removed as surplus.
 BOOST_AUTO_TEST_CASE(replicas_of_the_version_that_was_left_do_not_count) {
   ReplicaOrdersFixture fixture;
   for (const char *zone : {"a", "b", "c", "d"})
@@ -114,7 +114,7 @@
   fixture.State.VersionFor = [](const ServiceId &, const std::string &) {
     return VersionPreference{VersionId("v2"), {}};
   };
-  fixture.takeDuties();
+  fixture.acquireDuties();
   BOOST_TEST_REQUIRE(fixture.Duties.isHeld(bootNow()));
   for (int n = 0; n < 20; ++n) {
     fixture.Orders.tick(bootNow());
@@ -129,10 +129,10 @@
   BOOST_TEST(onDemand >= 5);
 }
 
-// Reclaimable replicas are removed after a peak. Taken for a reclaim in each
-// zone, that would replace all remaining ones by on-demand replicas, which cost
-// more.
-BOOST_AUTO_TEST_CASE(replicas_that_were_sent_away_are_no_reclaim) {
+// Reclaimable replicas are removed after a peak. If the removal counted as a
+// reclaim in each zone, all remaining ones would be replaced by on-demand
+// replicas, which cost more.
+BOOST_AUTO_TEST_CASE(removed_replicas_do_not_count_as_reclaimed) {
   for (const bool isReclaim : {true, false}) {
     ReplicaOrdersFixture fixture;
     for (const char *zone : {"a", "b", "c", "d"})
@@ -147,7 +147,7 @@
           record.LeavesIn = seconds(2);
         fixture.State.Replicas.note(record, bootNow());
       }
-    fixture.takeDuties();
+    fixture.acquireDuties();
     BOOST_TEST_REQUIRE(fixture.Duties.isHeld(bootNow()));
     fixture.Orders.tick(bootNow());
     for (int n = 0; n < 20; ++n) {
--- a/Tests/sorrelbayd/TestRolloutExchange.cpp
+++ b/Tests/sorrelbayd/TestRolloutExchange.cpp
@@ -68,7 +68,7 @@
 
 BOOST_AUTO_TEST_SUITE(RolloutExchangeTests)
 
-BOOST_AUTO_TEST_CASE(knowledge_survives_its_encoding) {
+BOOST_AUTO_TEST_CASE(decoding_restores_the_encoded_knowledge) {
   RolloutKnowledge known;
   known.Evidence.record({HostId("a"), IncarnationId("1")},
                         {VersionId("v2"), RouteId("chat")},
@@ -83,14 +83,15 @@
   BOOST_CHECK(decodeRolloutKnowledge(encodeRolloutKnowledge(known)) == known);
 }
 
-BOOST_DATA_TEST_CASE(what_is_not_knowledge_is_refused,
+BOOST_DATA_TEST_CASE(malformed_knowledge_is_refused,
                      boost::unit_test::data::make(MalformedRows), text) {
   BOOST_CHECK_THROW(decodeRolloutKnowledge(text), RolloutKnowledgeMalformed);
 }
 
 // One daemon has rolled the version back. A daemon that starts afterwards
 // without this knowledge would send calls to the version again.
-BOOST_AUTO_TEST_CASE(a_new_daemon_asks_before_it_uses_a_version) {
+BOOST_AUTO_TEST_CASE(
+    a_new_daemon_reads_stored_knowledge_before_it_uses_a_version) {
   StoredObjects stored;
   const Bundle bundle = rolloutBundle();
   RolloutTracker first(HostId("first"), oneReplica);
--- a/Tests/sorrelbayd/TestUsageRecord.cpp
+++ b/Tests/sorrelbayd/TestUsageRecord.cpp
@@ -45,7 +45,7 @@
   BOOST_TEST(record.Known.empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_text_that_is_no_record_is_refused) {
+BOOST_AUTO_TEST_CASE(a_malformed_record_is_refused) {
   for (const char *text : {"", "[]", R"({"windows":3})",
                            R"({"windows":[],"known":[{"window":"x"}]})"})
     BOOST_CHECK_THROW(decodeUsageRecord(text), UsageRecordMalformed);
