--- a/Services/sorrelbayd/Gateway.cpp
+++ b/Services/sorrelbayd/Gateway.cpp
@@ -26,11 +26,11 @@
 /// Number of times that a view of the store is confirmed within the tightest
 /// bound on its age.
 constexpr int ConfirmsPerBound = 4;
-/// A host that receives relayed changes queries the store itself after
-/// receiving none for 1/SilencesPerBound of the tightest bound, or if the last
-/// ones may be older than that by more than OldBySilent wait limits.
-constexpr int SilencesPerBound = 2;
-constexpr int OldBySilent = 2;
+/// A host that receives relayed changes queries the store itself if it has
+/// received none for the tightest bound divided by SilenceDivisor, or if the
+/// last ones are older than that by more than ExtraStaleWaits wait limits.
+constexpr int SilenceDivisor = 2;
+constexpr int ExtraStaleWaits = 2;
 constexpr Duration MaxWatchWait = milliseconds(500);
 /// Changes within 1/BatchesPerBound of the tightest bound are fetched together.
 constexpr int BatchesPerBound = 20;
@@ -152,9 +152,9 @@
   // themselves.
   settings.MaxSilentWaits =
       std::max(settings.MaxSilentWaits,
-               static_cast<int>(bound / SilencesPerBound / settings.WaitLimit));
-  settings.MaxStaleWaits =
-      std::max(settings.MaxStaleWaits, settings.MaxSilentWaits + OldBySilent);
+               static_cast<int>(bound / SilenceDivisor / settings.WaitLimit));
+  settings.MaxStaleWaits = std::max(settings.MaxStaleWaits,
+                                    settings.MaxSilentWaits + ExtraStaleWaits);
   // Changes may be relayed by another host and be as old as MaxStaleWaits
   // allows.
   State.LongestPlanAge =
@@ -440,10 +440,11 @@
   const Duration shortestStop = LookupTimeToLive;
   while (bootNow() < until) {
     std::this_thread::sleep_for(TickInterval);
-    std::promise<bool> quiet;
-    boost::asio::post(
-        Loop, [this, &quiet] { quiet.set_value(Callers->connections() == 0); });
-    if (quiet.get_future().get() && bootNow() - begun > shortestStop)
+    std::promise<bool> hasNoConnections;
+    boost::asio::post(Loop, [this, &hasNoConnections] {
+      hasNoConnections.set_value(Callers->connections() == 0);
+    });
+    if (hasNoConnections.get_future().get() && bootNow() - begun > shortestStop)
       break;
   }
   LogLine(Severity::Info, "stopped")
--- a/Services/sorrelbayd/GatewayCall.cpp
+++ b/Services/sorrelbayd/GatewayCall.cpp
@@ -357,9 +357,9 @@
   CurrentSend.HasFirstByte = true;
   CurrentSend.FirstByteAt = now;
   State.Replicas.noteFirstByte(CurrentSend.Replica, ExpectedCost);
-  const bool isPromptRead =
+  const bool isPrefillDone =
       Route->IsStream && isSuccess() && !CurrentSend.DidNotRun;
-  if (isPromptRead && Call.PromptTokens && !State.wasStalled(now)) {
+  if (isPrefillDone && Call.PromptTokens && !State.wasStalled(now)) {
     const ReplicaChoice &expected = CurrentSend.Expected;
     State.Replicas.noteFirstToken(
         CurrentSend.Replica,
--- a/Services/sorrelbayd/GatewayFleet.cpp
+++ b/Services/sorrelbayd/GatewayFleet.cpp
@@ -233,8 +233,8 @@
   for (const RelayedChanges &it : parts)
     Link->send(peers, encodeFleetMessage(it));
   for (const HostId &it : peers) {
-    // A host that has not sent a report yet receives the changes without their
-    // age.
+    // A host that has not sent a report yet has no clock to echo and cannot
+    // determine the age of the changes.
     const auto echo = PeerClocks.find(it);
     last.Echo = echo == PeerClocks.end() ? 0 : echo->second;
     Link->send({it}, encodeFleetMessage(last));
--- a/Services/sorrelbayd/LiveAnswer.cpp
+++ b/Services/sorrelbayd/LiveAnswer.cpp
@@ -140,11 +140,11 @@
     isOver = reader != CurrentReader;
     if (isOver)
       return std::nullopt;
-    const bool isHeldBack = FrozenAt && Stream.nextEventId() >= *FrozenAt;
-    if (!isHeldBack)
+    const bool isWithheld = FrozenAt && Stream.nextEventId() >= *FrozenAt;
+    if (!isWithheld)
       if (auto event = Stream.nextEvent())
         return event;
-    isOver = isHeldBack ? !HandoverNotice.empty() : Ended.has_value();
+    isOver = isWithheld ? !HandoverNotice.empty() : Ended.has_value();
     if (isOver || !waits)
       return std::nullopt;
     Changed.wait(lock);
--- a/Services/sorrelbayd/StreamRecovery.cpp
+++ b/Services/sorrelbayd/StreamRecovery.cpp
@@ -11,7 +11,7 @@
 static constexpr Duration MoveTimeout = seconds(10);
 /// The assumed time until an engine leaves if its reclaim time is unknown; this
 /// is the shortest notice period.
-static constexpr Duration ShortestNotice = seconds(2);
+static constexpr Duration ShortestNoticePeriod = seconds(2);
 /// How long an ended answer is retained for a caller whose connection broke.
 static constexpr Duration EndedAnswerRetention = seconds(15);
 
@@ -90,8 +90,8 @@
     KnownEngines[it.Id] = it.Version;
     plan.setUpstream(it.Id, it.Zone, it.Capacity);
     if (it.IsLeaving && !plan.isLeaving(it.Id))
-      notices[it.Version][it.LeavesAt.value_or(at + ShortestNotice)].push_back(
-          it.Id);
+      notices[it.Version][it.LeavesAt.value_or(at + ShortestNoticePeriod)]
+          .push_back(it.Id);
   }
   // An engine that is no longer listed has left or will soon. It may still send
   // its answers, so they are redirected before their connections break.
--- a/Tests/sorrelbayd/TestLiveAnswer.cpp
+++ b/Tests/sorrelbayd/TestLiveAnswer.cpp
@@ -62,12 +62,12 @@
   const Handover taken = parseHandover(encodeHandover(*state));
   LiveAnswer there(request(),
                    AnswerStream(Own, taken.Tokens, taken.LastAttempt));
-  const std::uint64_t again = there.beginReading(caller.LastEventId);
+  const std::uint64_t secondReader = there.beginReading(caller.LastEventId);
   const AnswerAttempt second = there.beginAttempt(Engine);
   BOOST_CHECK(there.take({Own, first, 2, "x"}) == TokenVerdict::Late);
   addTokens(there, second, "cd");
   there.finish({Own, second, 4}, "stop");
-  BOOST_CHECK(there.read(again, caller.sink()) == ReaderEnd::Whole);
+  BOOST_CHECK(there.read(secondReader, caller.sink()) == ReaderEnd::Whole);
   BOOST_TEST(caller.Text == "abcd.");
 }
 
