--- a/Libraries/LibDecision/CanaryJudge.cpp
+++ b/Libraries/LibDecision/CanaryJudge.cpp
@@ -60,7 +60,7 @@
 }
 
 /// Whether the old version had too few calls in the interval to compare with,
-/// as happens after the full share has moved.
+/// as happens once the new version has its full share.
 static bool hasTooFewOldCalls(const ComparedCounts &interval) {
   constexpr std::uint64_t NewCallsForOne = 50;
   return interval.Old.Calls * NewCallsForOne < interval.New.Calls;
--- a/Libraries/LibDecision/DeskCallProtocol.cpp
+++ b/Libraries/LibDecision/DeskCallProtocol.cpp
@@ -198,7 +198,8 @@
   }
 }
 
-// Answers with what this attempt alone knows.
+// Refuses the call. The outcome is derived from the state of this attempt
+// alone.
 DeskCallActions DeskCallProtocol::refuse(RefusalReason reason) {
   Now = Step::Finished;
   DeskCallAnswer refusal;
--- a/Libraries/LibDecision/EngineCommands.h
+++ b/Libraries/LibDecision/EngineCommands.h
@@ -20,7 +20,7 @@
   Instant AskedAt;
 };
 
-/// Tells an engine to hold exactly these versions. A command states the desired
+/// Makes an engine hold exactly these versions. A command states the desired
 /// state, not the change, so that the next command corrects one that was lost,
 /// delayed or duplicated.
 struct EngineCommand {
@@ -38,7 +38,7 @@
       : CommandTimeout(commandTimeout) {}
 
   /// Returns the commands to send now, or none if this daemon does not hold the
-  /// lease. Engines missing from `wanted` are left alone. An engine that does
+  /// lease. Engines missing from `wanted` get no command. An engine that does
   /// not check fencing tokens gets a command only if its versions were read
   /// during this lease term, since only the engine knows the effect of earlier
   /// commands. It gets none while an earlier command is in flight, because the
--- a/Libraries/LibDecision/Handover.h
+++ b/Libraries/LibDecision/Handover.h
@@ -17,7 +17,7 @@
 };
 
 /// The state that another entry host needs to continue an answer when its
-/// present host leaves.
+/// current host leaves.
 struct Handover {
   RequestId Request;
   TeamId Team;
@@ -47,7 +47,7 @@
 /// The inverse of encodeHandover. Throws HandoverRefused.
 Handover parseHandover(const std::vector<std::uint8_t> &message);
 
-/// An entry host that may take answers over.
+/// An entry host that may continue answers of this host.
 struct HandoverPeer {
   HostId Host;
   ZoneId Zone;
@@ -56,16 +56,17 @@
   bool IsLeaving = false;
 };
 
-/// Returns the candidates for taking over the answer, best first. Leaving peers
-/// are omitted and peers in other zones precede those in the own zone. Within
-/// these groups the order depends on the request, so that the answers of one
-/// host are spread over its peers.
+/// Returns the peers that may continue the answer, best first. Leaving peers
+/// are omitted, and peers in other zones precede those in `ownZone`, which may
+/// be reclaimed as a whole. Within these groups the order depends on the
+/// request, so that the answers of one host are spread over its peers.
 std::vector<HandoverPeer> orderPeers(const RequestId &request,
                                      const ZoneId &ownZone,
                                      std::vector<HandoverPeer> peers);
 
-/// The notice, a JSON object, for a caller whose answer continues on another
-/// host: connect there with the same request id and Last-Event-ID.
+/// Returns the notice for a caller whose answer continues on another host, as a
+/// JSON object. It lists the addresses of the peers. The caller connects to one
+/// of them with the same request id and Last-Event-ID.
 std::string movedNotice(const RequestId &request,
                         const std::vector<HandoverPeer> &peers);
 
--- a/Libraries/LibDecision/HostPlan.h
+++ b/Libraries/LibDecision/HostPlan.h
@@ -11,9 +11,9 @@
 namespace sorrelbay {
 
 /// Identifies one create request to the cloud, regardless of the sender and the
-/// number of attempts. The cloud answers a known token with the host that it
-/// created for it, so neither two concurrent planners nor a retry after a lost
-/// reply create a second host.
+/// number of attempts. For a token that it has received before, the cloud
+/// returns the host that it created then, so neither two concurrent planners
+/// nor a retry after a lost reply create a second host.
 struct ClientToken {
   std::uint64_t Generation = 0;
   std::uint32_t Slot = 0;
--- a/Libraries/LibDecision/LeavingUpstreams.h
+++ b/Libraries/LibDecision/LeavingUpstreams.h
@@ -73,7 +73,7 @@
 
   bool isLeaving(const UpstreamId &upstream, Instant now) const;
   /// Whether a peer has answered this daemon since its last pause. A daemon
-  /// without a fresh view must say so when a peer queries its notices.
+  /// without a fresh view must report that when a peer queries its notices.
   bool isViewFresh(Instant now) const;
   NewWork newWorkFor(const UpstreamId &upstream, Instant now) const;
   /// All notices that have not expired, to be sent to peers.
--- a/Libraries/LibDecision/PeerFreshness.h
+++ b/Libraries/LibDecision/PeerFreshness.h
@@ -15,13 +15,13 @@
   /// The peer has answered a query sent at `askedAt`.
   void answered(const HostId &peer, Instant askedAt);
 
-  /// The peer has left and is no longer waited for.
+  /// The peer has left the fleet; its answers no longer count.
   void forget(const HostId &peer);
 
-  /// The time up to which more than half of the peers have sent all that they
-  /// knew, or the epoch if too few have ever answered. A majority is needed,
-  /// because two daemons that were paused together would otherwise confirm each
-  /// other's stale state.
+  /// The time up to which more than half of the peers have sent all their
+  /// knowledge, or the epoch if too few have ever answered. A majority is
+  /// needed, because two daemons that were paused together would otherwise
+  /// confirm each other's stale state.
   Instant knownUntil(std::size_t peers) const;
 
 private:
--- a/Libraries/LibDecision/Placement.cpp
+++ b/Libraries/LibDecision/Placement.cpp
@@ -89,9 +89,9 @@
   return {&upstream, fromSeconds(wait), cost, cached};
 }
 
-// Rendezvous hashing: daemons without an entry for a conversation agree on its
-// home without communication, and only the conversations of a leaving upstream
-// get a new home.
+// Rendezvous hashing: daemons without an entry for a conversation choose the
+// same home without communication, and only the conversations of a leaving
+// upstream get a new home.
 const UpstreamState *
 Placement::homeOf(const std::vector<UpstreamState> &upstreams,
                   const PlacementRequest &request) const {
--- a/Libraries/LibDecision/Placement.h
+++ b/Libraries/LibDecision/Placement.h
@@ -11,8 +11,8 @@
 
 namespace sorrelbay {
 
-/// What a daemon knows of an upstream when it places a call. The reported
-/// values come from the upstream and lag behind. They are zero before the first
+/// A daemon's view of an upstream when it places a call. The reported values
+/// come from the upstream and lag behind. They are zero before the first
 /// report.
 struct UpstreamState {
   UpstreamId Id;
@@ -60,10 +60,10 @@
   double PromptTokensPerSecond = 8000;
   /// How much each open call of an upstream delays the next one.
   Duration WaitPerOpenCall = milliseconds(1);
-  /// The maximum number of concurrent calls of an upstream; further calls are
-  /// queued.
+  /// The maximum number of calls that an upstream runs concurrently; further
+  /// calls are queued.
   int ConcurrentCallsPerUpstream = 64;
-  /// The average time that a call occupies one of the concurrent slots.
+  /// The average time that a call runs at an upstream.
   Duration MeanCallTime = seconds(5);
   /// One-way latency to an upstream in another zone.
   Duration CrossZoneLatency = microseconds(500);
@@ -74,12 +74,15 @@
   /// The cost of computing a prompt token, as a multiple of its compute time.
   /// It is above 1 because the calls behind this one are delayed, too.
   double ComputeWeight = 2;
-  /// The share of a prompt assumed to be cached at the conversation's home
-  /// upstream while this daemon has placed no call of the conversation.
+  /// The share of a prompt, 0 to 1, assumed to be cached at the conversation's
+  /// home upstream, which is chosen by hash. Applies while this daemon has
+  /// placed no call of the conversation.
   double AssumedCachedShare = 0.3;
+  /// The maximum number of conversations whose prefixes are tracked; beyond it,
+  /// the least recently used one is dropped.
   std::size_t MaxConversations = 20000;
-  /// The maximum number of load changes kept per upstream. The oldest one is
-  /// dropped beyond it.
+  /// The maximum number of load changes kept per upstream; beyond it, the
+  /// oldest one is dropped.
   std::size_t MaxLoadChanges = 256;
 };
 
@@ -94,12 +97,13 @@
   /// not tried before.
   PlacementChoice choose(const std::vector<UpstreamState> &upstreams,
                          const PlacementRequest &request, Instant now) const;
-  /// Records that this daemon sent the call to the upstream. Otherwise all
+  /// Records that this daemon sent the call to the upstream. Without this, all
   /// calls of a burst between two load reports would go to the upstream that
-  /// seemed idle.
+  /// was idle in the last report.
   void noteSent(const UpstreamId &upstream, const PlacementRequest &request,
                 std::int64_t cachedTokens, Instant now);
-  /// Records that a peer sent calls with a total of `tokens` to compute.
+  /// Records that a peer sent calls with a total of `tokens` prompt tokens to
+  /// compute.
   void notePeerSent(const UpstreamId &upstream, int calls, std::int64_t tokens,
                     Instant at);
   /// Records the end of a call that this daemon sent. The conversation has
@@ -110,7 +114,7 @@
   /// Records that the engine evicted the prefix of the conversation.
   void noteEvicted(const UpstreamId &upstream,
                    const ConversationKey &conversation);
-  /// Removes an upstream that is gone.
+  /// Removes the state of an upstream that no longer exists.
   void forget(const UpstreamId &upstream);
 
 private:
--- a/Libraries/LibDecision/PrefixTable.h
+++ b/Libraries/LibDecision/PrefixTable.h
@@ -34,8 +34,8 @@
   /// The upstream no longer holds the conversation's prefix.
   void noteEvicted(const UpstreamId &upstream,
                    const ConversationKey &conversation);
-  /// Removes all entries of an upstream that is gone. Linear in the size of the
-  /// table.
+  /// Removes all entries of an upstream that no longer exists. Linear in the
+  /// size of the table.
   void forget(const UpstreamId &upstream);
   std::size_t size() const { return Entries.size(); }
 
--- a/Libraries/LibDecision/RecoveryPlan.cpp
+++ b/Libraries/LibDecision/RecoveryPlan.cpp
@@ -20,8 +20,8 @@
 void RecoveryPlan::setUpstream(const UpstreamId &id, const ZoneId &zone,
                                std::uint32_t capacity) {
   Upstream &upstream = Upstreams[id];
-  // An address that comes back belongs to a new process, which the notice did
-  // not apply to.
+  // An address that is listed again belongs to a new process, to which the
+  // notice does not apply.
   if (upstream.IsGone)
     upstream.LeavesAt.reset();
   upstream.IsGone = false;
@@ -147,13 +147,13 @@
 
 bool RecoveryPlan::mayAdmitAnywhere() const {
   const std::size_t n = waiting();
-  return n == 0 || totalRoom() > n;
+  return n == 0 || freeCapacity() > n;
 }
 
 bool RecoveryPlan::mayAdmit(const UpstreamId &upstream) const {
   auto it = Upstreams.find(upstream);
   return it != Upstreams.end() && hasCapacity(it->second) &&
-         totalRoom() > waiting();
+         freeCapacity() > waiting();
 }
 
 std::uint32_t RecoveryPlan::load(const UpstreamId &upstream) const {
@@ -207,7 +207,7 @@
   entry.Until = at + entry.BackoffDelay;
 }
 
-std::uint32_t RecoveryPlan::totalRoom() const {
+std::uint32_t RecoveryPlan::freeCapacity() const {
   std::uint32_t n = 0;
   for (const auto &[id, upstream] : Upstreams)
     if (hasCapacity(upstream))
@@ -293,9 +293,9 @@
 
 RecoveryActions RecoveryPlan::plan(Instant at, RecoveryActions actions) {
   queueAtRiskAnswers(at);
-  std::uint32_t reservedRoom = 0;
-  const Candidates rest = planMoves(at, reservedRoom, actions);
-  planResumptions(at, rest, reservedRoom, actions);
+  std::uint32_t reservedCapacity = 0;
+  const Candidates rest = planMoves(at, reservedCapacity, actions);
+  planResumptions(at, rest, reservedCapacity, actions);
   return actions;
 }
 
@@ -356,11 +356,11 @@
   return slots;
 }
 
-/// Starts the moves for which a slot is free and counts the room to reserve for
-/// later ones. Returns the answers that cannot be moved in time.
-RecoveryPlan::Candidates RecoveryPlan::planMoves(Instant at,
-                                                 std::uint32_t &reservedRoom,
-                                                 RecoveryActions &actions) {
+/// Starts the moves for which a slot is free and counts the capacity to reserve
+/// for later ones. Returns the answers that cannot be moved in time.
+RecoveryPlan::Candidates
+RecoveryPlan::planMoves(Instant at, std::uint32_t &reservedCapacity,
+                        RecoveryActions &actions) {
   Candidates rest;
   MoveSlots slots = moveSlots(at);
   for (Answer *answer : waitingAnswers()) {
@@ -382,7 +382,7 @@
     if (to)
       startMove(at, *answer, *to, actions);
     else
-      ++reservedRoom;
+      ++reservedCapacity;
   }
   return rest;
 }
@@ -396,7 +396,7 @@
 }
 
 void RecoveryPlan::planResumptions(Instant at, const Candidates &candidates,
-                                   std::uint32_t reservedRoom,
+                                   std::uint32_t reservedCapacity,
                                    RecoveryActions &actions) {
   std::uint32_t engines = 0;
   for (const auto &[id, upstream] : Upstreams)
@@ -411,9 +411,9 @@
   for (Answer *answer : candidates) {
     if (mayStay(at, *answer, backlog))
       continue;
-    // Leave the room that later moves need, unless no engine serves this
+    // Leave the capacity that later moves need, unless no engine serves this
     // answer.
-    if (!answer->At.empty() && totalRoom() <= reservedRoom)
+    if (!answer->At.empty() && freeCapacity() <= reservedCapacity)
       continue;
     if (const UpstreamId *to = resumptionTarget(at, *answer))
       startResumption(*answer, *to, recomputedAt(*answer, *to), actions);
--- a/Libraries/LibDecision/RecoveryPlan.h
+++ b/Libraries/LibDecision/RecoveryPlan.h
@@ -82,14 +82,16 @@
   std::vector<AnswerResumption> Resumes;
 };
 
-/// Plans how the open answers of one entry host survive the reclaim of engines.
+/// Plans how the open answers of one entry host continue when their engines are
+/// reclaimed.
 ///
 /// The reclaim of a zone would break all its answers at once. Resuming them all
-/// at that time would overload the remaining engines, each of which would
+/// at that time would overload the remaining engines, which would have to
 /// recompute the whole prefixes. Answers that can finish in place are therefore
-/// left alone. As many of the others as the bandwidth allows have their caches
-/// moved before the end. The rest is resumed from the prefix, spread over the
-/// notice period and over engines with room.
+/// not touched. Of the others, as many as the bandwidth allows have their
+/// caches moved before the engine leaves. The remaining answers are resumed
+/// from the prefix, spread over the notice period and over engines with free
+/// capacity.
 ///
 /// Events are passed in with their time, and the actions to take are returned.
 /// Not thread-safe.
@@ -113,18 +115,18 @@
   /// notices for one engine, the earliest time counts.
   RecoveryActions notice(Instant at, const std::vector<UpstreamId> &upstreams,
                          Instant leavesAt);
-  /// The engine is gone, with or without notice.
+  /// The engine has terminated, with or without notice.
   RecoveryActions gone(Instant at, const UpstreamId &upstream);
   /// The import of a cache has finished. The cache covers `cachedTokens`
   /// tokens, including the prompt.
   RecoveryActions moved(Instant at, const RequestId &request,
                         std::uint64_t cachedTokens);
   RecoveryActions moveFailed(Instant at, const RequestId &request);
-  /// The first token of the attempt that an AnswerResumption asked for has
+  /// The first token of the attempt started for an AnswerResumption has
   /// arrived.
   RecoveryActions resumed(Instant at, const RequestId &request);
-  /// The answer's attempt on that engine failed. Ignored if the answer has
-  /// moved to another engine in the meantime.
+  /// The answer's attempt on that engine failed. Ignored if another engine
+  /// serves the answer by now.
   RecoveryActions attemptLost(Instant at, const RequestId &request,
                               const UpstreamId &upstream, AttemptLoss loss);
   /// Must be called a few times per second while isBusy().
@@ -132,10 +134,10 @@
 
   /// Whether any answer is waiting, moving, resuming or on a leaving engine.
   bool isBusy() const;
-  /// The number of answers that wait for room.
+  /// The number of answers that wait for free capacity.
   std::size_t waiting() const;
   /// Whether a new call may be sent to the engine. Waiting answers were
-  /// accepted earlier, and a new call must not take their room.
+  /// accepted earlier, and a new call must not take their capacity.
   bool mayAdmit(const UpstreamId &upstream) const;
   /// The same, before an engine is chosen.
   bool mayAdmitAnywhere() const;
@@ -153,7 +155,7 @@
     OpenAnswer Open;
     /// The engine that serves the answer; empty if there is none.
     UpstreamId At;
-    /// The engine that the cache is being moved to, where room is reserved.
+    /// The engine that the cache is being moved to, where capacity is reserved.
     UpstreamId To;
     Phase CurrentPhase = Phase::Steady;
     /// A move failed; it is not tried again.
@@ -186,7 +188,7 @@
   static bool hasCapacity(const Upstream &upstream);
   static bool avoids(Instant at, const Answer &answer, const UpstreamId &id);
   static void avoid(Instant at, Answer &answer, const UpstreamId &id);
-  std::uint32_t totalRoom() const;
+  std::uint32_t freeCapacity() const;
   bool isZoneAtRisk(const ZoneId &zone) const;
   Instant leavesAt(const Answer &answer) const;
   Duration moveTime(const Answer &answer) const;
@@ -204,10 +206,11 @@
   RecoveryActions plan(Instant at, RecoveryActions actions = {});
   void queueAtRiskAnswers(Instant at);
   Candidates waitingAnswers();
-  Candidates planMoves(Instant at, std::uint32_t &reservedRoom,
+  Candidates planMoves(Instant at, std::uint32_t &reservedCapacity,
                        RecoveryActions &actions);
   void planResumptions(Instant at, const Candidates &candidates,
-                       std::uint32_t reservedRoom, RecoveryActions &actions);
+                       std::uint32_t reservedCapacity,
+                       RecoveryActions &actions);
   const UpstreamId *moveTarget() const;
   const UpstreamId *resumptionTarget(Instant at, const Answer &answer) const;
   void startMove(Instant at, Answer &answer, const UpstreamId &to,
--- a/Libraries/LibDecision/Rollout.h
+++ b/Libraries/LibDecision/Rollout.h
@@ -70,9 +70,9 @@
   /// share is completed at the deadline.
   void follow(const RolloutKnowledge &knowledge, Instant now);
 
-  /// The peers have answered a query sent at `askedAt`, so all that they knew
-  /// then is known here. The time of the query counts, not that of the answer:
-  /// after a pause, the sockets may hold old messages.
+  /// The peers have answered a query sent at `askedAt`, so this daemon has
+  /// received all knowledge that they had then. The time of the query counts,
+  /// not that of the answer: after a pause, the sockets may hold old messages.
   void refreshed(Instant askedAt);
 
   /// The input for chooseVersion.
--- a/Libraries/LibDecision/RolloutPlan.h
+++ b/Libraries/LibDecision/RolloutPlan.h
@@ -22,7 +22,7 @@
 };
 
 /// The rollout of a new version of a service that replaces an old one, as the
-/// bundle asks for it. All daemons with the same bundle compute the same plan.
+/// bundle specifies it. All daemons with the same bundle compute the same plan.
 struct RolloutPlan {
   VersionId New;
   VersionId Old;
@@ -47,7 +47,7 @@
 /// comparison.
 std::vector<StageShare> stagesOf(const RolloutPlan &plan);
 
-/// Returns the rollout that the bundle asks for: from the version without a
+/// Returns the rollout that the bundle specifies: from the version without a
 /// deadline to the one with a deadline. Returns nothing if the service has only
 /// one version.
 std::optional<RolloutPlan> planRollout(const Bundle &bundle,
--- a/Tests/LibDecision/RandomisedRollout.cpp
+++ b/Tests/LibDecision/RandomisedRollout.cpp
@@ -44,7 +44,7 @@
       (isImmediate ? MaxCallsForImmediateFault : MaxCallsForLateFault))
     return std::to_string(result.CallsToFault) + " calls reached the fault";
   if (result.SentAgainstVeto > 0)
-    return "sent by a daemon that knew of the veto";
+    return "sent by a daemon that had received the veto";
   if (result.LastAfterVeto > MaxSendAfterVeto)
     return "sent " + std::to_string(toMilliseconds(result.LastAfterVeto)) +
            " ms after the veto";
@@ -110,7 +110,7 @@
       }
 }
 
-BOOST_AUTO_TEST_CASE(randomised_good_versions_move_in_time) {
+BOOST_AUTO_TEST_CASE(randomised_good_versions_are_rolled_out_in_time) {
   for (std::uint64_t seed = 1; seed <= seedsToRun(); ++seed)
     for (const CanaryScenario &base : deploymentScenarios()) {
       const RolloutResult result = runRollout(withFaults(base), seed);
--- a/Tests/LibDecision/TestAdmission.cpp
+++ b/Tests/LibDecision/TestAdmission.cpp
@@ -63,7 +63,7 @@
 
 BOOST_AUTO_TEST_SUITE(AdmissionTests)
 
-BOOST_DATA_TEST_CASE(answers_an_arrival,
+BOOST_DATA_TEST_CASE(decides_on_an_arriving_call,
                      boost::unit_test::data::make(ArrivalRows), row) {
   Admission admission(oneSlot());
   for (int n = 0; n < row.Before; ++n)
--- a/Tests/LibDecision/TestAnswerStream.cpp
+++ b/Tests/LibDecision/TestAnswerStream.cpp
@@ -51,7 +51,7 @@
     {"whole", {Own, 2, 2}, EndVerdict::Whole},
     {"without a length", {Own, 2, std::nullopt}, EndVerdict::Truncated},
     {"short", {Own, 2, 3}, EndVerdict::Truncated},
-    {"shorter than what was taken", {Own, 2, 1}, EndVerdict::Truncated},
+    {"shorter than the accepted tokens", {Own, 2, 1}, EndVerdict::Truncated},
     {"of an attempt that is over", {Own, 1, 2}, EndVerdict::Late},
     {"of another request", {RequestId("x"), 2, 2}, EndVerdict::Misrouted},
 };
@@ -73,7 +73,7 @@
 
 // A token arrives late, twice, from another request's stream or after a lost
 // token. Accepting it would garble the caller's text.
-BOOST_DATA_TEST_CASE(a_token_is_taken_only_where_it_belongs,
+BOOST_DATA_TEST_CASE(a_token_is_accepted_only_in_order_from_its_attempt,
                      boost::unit_test::data::make(TokenRows), row) {
   AnswerStream answer = answerWithTwoTokens();
   BOOST_CHECK(answer.take(row.Token) == row.Verdict);
@@ -93,7 +93,7 @@
                                      row.Verdict == EndVerdict::Misrouted));
 }
 
-BOOST_AUTO_TEST_CASE(nothing_is_taken_after_the_end) {
+BOOST_AUTO_TEST_CASE(nothing_is_accepted_after_the_end) {
   AnswerStream answer = answerWithTwoTokens();
   answer.finish({Own, 2, 2});
   BOOST_CHECK(answer.take({Own, 2, 2, "c"}) == TokenVerdict::Late);
@@ -116,7 +116,7 @@
   BOOST_CHECK_THROW(answer.reconnect(3), UnknownEventId);
 }
 
-BOOST_AUTO_TEST_CASE(an_answer_taken_over_goes_on_at_its_next_offset) {
+BOOST_AUTO_TEST_CASE(a_handed_over_answer_continues_at_its_next_offset) {
   AnswerStream answer(Own, {"a", "b"}, 4);
   BOOST_CHECK(answer.take({Own, 4, 2, "c"}) == TokenVerdict::Late);
   BOOST_TEST(answer.beginAttempt() == 5U);
--- a/Tests/LibDecision/TestDeskCallRandomised.cpp
+++ b/Tests/LibDecision/TestDeskCallRandomised.cpp
@@ -23,7 +23,7 @@
 }
 
 // Guards against a call that runs twice and against a "not run" answer for a
-// call that ran. Callers repeat calls on other hosts while earlier attempts are
+// call that ran. Callers retry calls on other hosts while earlier attempts are
 // running; hosts crash, pause and restart at the same address; the object API
 // fails or loses replies after a write; desks refuse calls, run them late or
 // lose answers.
--- a/Tests/LibDecision/TestHandover.cpp
+++ b/Tests/LibDecision/TestHandover.cpp
@@ -28,7 +28,7 @@
 
 // A peer of another version, or a program that isn't a peer, sends a malformed
 // message. The parser must report it rather than crash or accept it.
-BOOST_AUTO_TEST_CASE(what_is_not_a_handover_is_refused) {
+BOOST_AUTO_TEST_CASE(a_malformed_handover_is_refused) {
   const std::vector<std::uint8_t> whole = encodeHandover(example());
   for (std::size_t n = 0; n < whole.size(); ++n)
     BOOST_CHECK_THROW(parseHandover({whole.begin(), whole.begin() + n}),
--- a/Tests/LibDecision/TestHostPlanner.cpp
+++ b/Tests/LibDecision/TestHostPlanner.cpp
@@ -197,7 +197,7 @@
 // Several daemons plan hosts at once, are paused in the middle of a round and
 // lose replies; starts are refused and zones reclaimed. A fault would create
 // unused hosts or unload a version that callers are sent to.
-BOOST_AUTO_TEST_CASE(randomised_planners_buy_once_and_never_undo) {
+BOOST_AUTO_TEST_CASE(randomised_planners_create_once_and_never_undo) {
   for (std::uint64_t seed = 1; seed <= soakSeeds(20); ++seed)
     BOOST_CHECK_MESSAGE(
         HostPlannerSimulation(seed, HostPlannerFault::None).run().empty(),
--- a/Tests/LibDecision/TestLeavingUpstreams.cpp
+++ b/Tests/LibDecision/TestLeavingUpstreams.cpp
@@ -13,7 +13,7 @@
 const Instant Start{seconds(1000)};
 const UpstreamId Engine("127.0.0.9:1");
 
-/// A set that has ticked, and has answers from a peer and the upstream.
+/// A set after a tick and after the answers of a peer and of the upstream.
 LeavingUpstreams freshSet() {
   LeavingUpstreams set;
   set.noteTick(Start);
@@ -95,7 +95,7 @@
 
 BOOST_AUTO_TEST_SUITE(LeavingUpstreamsTests)
 
-BOOST_DATA_TEST_CASE(says_whether_an_upstream_may_have_new_work,
+BOOST_DATA_TEST_CASE(decides_whether_an_upstream_may_receive_new_calls,
                      boost::unit_test::data::make(VerdictRows), row) {
   LeavingUpstreams set = freshSet();
   row.ApplyEvent(set);
@@ -104,14 +104,14 @@
 
 namespace {
 
-/// Which answers of the set the simulated daemons obey.
+/// Which verdicts of the set the simulated daemons act on.
 enum class Compliance { Full, PeersNotAsked, NothingAsked };
 
 constexpr int Daemons = 5;
 constexpr int Upstreams = 4;
 constexpr Duration Step = milliseconds(50);
 constexpr Duration PollEvery = milliseconds(500);
-/// The maximum time from the first knowledge that an upstream leaves until all
+/// The maximum time from the first notice that an upstream leaves until all
 /// daemons stop sending calls to it.
 constexpr Duration Bound = seconds(3);
 
@@ -142,7 +142,7 @@
   bool sendsTooLate() {
     for (Now = Start; Now < Start + seconds(90); Now += Step) {
       for (UpstreamPlan &plan : Plans)
-        trackKnown(plan);
+        updateKnownSince(plan);
       for (int d = 0; d < Daemons; ++d)
         stepDaemon(d);
     }
@@ -158,8 +158,8 @@
     bool IsListed = false;
     Instant ListedAt;
     int NotifiedDaemon = -1;
-    /// Since when an upstream or daemon that answers queries has known without
-    /// interruption.
+    /// The start of the current period in which the upstream or a running
+    /// daemon has the notice and answers queries; the maximum if there is none.
     Instant KnownSince = Instant::max();
   };
   struct Message {
@@ -178,7 +178,7 @@
     return Now < PausedUntil[static_cast<std::size_t>(daemon)];
   }
 
-  void trackKnown(UpstreamPlan &plan) {
+  void updateKnownSince(UpstreamPlan &plan) {
     bool isKnown = plan.ReportsItself && Now >= plan.NoticeAt;
     for (int d = 0; d < Daemons; ++d)
       isKnown = isKnown || (!isPaused(d) && set(d).isViewFresh(Now) &&
@@ -315,7 +315,7 @@
 // An upstream is to be reclaimed. The notice comes from the host list, the
 // upstream or a peer, partly late or not at all, while daemons are paused. A
 // call that is still sent there loses its upstream within seconds.
-BOOST_AUTO_TEST_CASE(randomised_leaving_upstreams_get_nothing_new) {
+BOOST_AUTO_TEST_CASE(randomised_leaving_upstreams_receive_no_new_calls) {
   BOOST_CHECK_EQUAL(runsTooLate(soakSeeds(40), Compliance::Full), 0);
 }
 
--- a/Tests/LibDecision/TestLedgerBucket.cpp
+++ b/Tests/LibDecision/TestLedgerBucket.cpp
@@ -131,8 +131,8 @@
 
 // Far more calls than planned fill a bucket up to the size limit of the object
 // API. New calls must be refused as LedgerFull, while running calls must still
-// be able to record their results for repeated calls.
-BOOST_AUTO_TEST_CASE(ledger_full_bucket_refuses_and_keeps_room_for_results) {
+// be able to record their results for retries.
+BOOST_AUTO_TEST_CASE(ledger_full_bucket_refuses_calls_and_accepts_results) {
   LedgerLimits limits;
   LedgerBucket bucket = fillBucket(limits);
   const auto count = bucket.entries().size();
@@ -177,7 +177,7 @@
   BOOST_CHECK(finished[0].Outcome.Verdict == EditVerdict::Unavailable);
 }
 
-BOOST_AUTO_TEST_CASE(ledger_edits_that_come_meanwhile_share_an_update) {
+BOOST_AUTO_TEST_CASE(ledger_edits_during_a_request_share_an_update) {
   BucketUpdater updater{LedgerLimits{}};
   for (std::uint64_t it = 0; it < 20; it++)
     updater.submit(it, makeEdit(Intent, 1, it, "k" + std::to_string(it)));
--- a/Tests/LibDecision/TestPlacement.cpp
+++ b/Tests/LibDecision/TestPlacement.cpp
@@ -87,8 +87,8 @@
 
 BOOST_AUTO_TEST_SUITE(PlacementTests)
 
-BOOST_DATA_TEST_CASE(chooses, boost::unit_test::data::make(PlacementRows),
-                     row) {
+BOOST_DATA_TEST_CASE(chooses_the_cheapest_eligible_upstream,
+                     boost::unit_test::data::make(PlacementRows), row) {
   PlacementRequest wanted = request();
   wanted.AllowedVersion = row.AllowedVersion;
   wanted.Tried = row.Tried;
@@ -149,7 +149,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(prefix_table_forgets_the_least_recently_used) {
+BOOST_AUTO_TEST_CASE(prefix_table_evicts_the_least_recently_used) {
   PrefixTable table(2);
   const UpstreamId upstream("1");
   table.note(upstream, ConversationKey("a"), 10);
--- a/Tests/LibDecision/TestRecoveryPlan.cpp
+++ b/Tests/LibDecision/TestRecoveryPlan.cpp
@@ -42,8 +42,8 @@
   std::size_t Resumes;
 };
 
-/// At 30 tokens per second and with a context of 1,100 tokens, whose cache
-/// takes 0.29 s to move and whose prefill takes 0.28 s.
+/// The rows assume 30 tokens per second and a context of 1,100 tokens. Moving
+/// its cache takes 0.29 s, and its prefill takes 0.28 s.
 const ChoiceRow ChoiceRows[] = {
     {"finishes in place", 200, 30, 0, 0},
     {"is moved", 2000, 30, 1, 0},
@@ -90,8 +90,9 @@
   return out << row.Name;
 }
 
-/// A fleet with the reclaims of `wave`. The seed determines notices of 2 to 30
-/// s and the time of the second wave, which begins during the first.
+/// A fleet with the reclaims of `wave`. The seed determines the notice periods,
+/// 2 to 30 s, and the start of the second wave, which begins during the first
+/// or up to 1 s after it.
 FleetSettings fleetUnder(const WaveRow &wave, const WireFaults &faults,
                          std::uint64_t seed) {
   std::mt19937_64 random(seed);
@@ -110,9 +111,9 @@
     first.Engines = {0, 4, 8};
   settings.Reclaims = {first};
   if (wave.HasSecondWave) {
-    const auto into = static_cast<int>(toMilliseconds(first.Notice)) + 1000;
+    const auto maxDelay = static_cast<int>(toMilliseconds(first.Notice)) + 1000;
     settings.Reclaims.push_back({{1, 5},
-                                 first.At + milliseconds(pick(50, into)),
+                                 first.At + milliseconds(pick(50, maxDelay)),
                                  milliseconds(pick(2000, 30000))});
   }
   return settings;
@@ -120,19 +121,19 @@
 
 /// Whether every caller received its text byte for byte and no engine exceeded
 /// its capacity.
-bool holds(const FleetResult &result) {
+bool isCorrect(const FleetResult &result) {
   return result.Whole == result.Answers && result.MaxOverload == 0;
 }
 
 /// The number of seeds that fail with a variant of the settings.
 template <typename Variant>
-std::uint64_t failing(const WaveRow &wave, const WireFaults &faults,
-                      Variant variant) {
+std::uint64_t failingSeeds(const WaveRow &wave, const WireFaults &faults,
+                           Variant variant) {
   std::uint64_t n = 0;
   for (std::uint64_t seed = 1; seed <= SeedsInCi; ++seed) {
     FleetSettings settings = fleetUnder(wave, faults, seed);
     variant(settings);
-    n += holds(RecoveryFleet(settings, seed).run()) ? 0 : 1;
+    n += isCorrect(RecoveryFleet(settings, seed).run()) ? 0 : 1;
   }
   return n;
 }
@@ -141,7 +142,7 @@
 
 BOOST_AUTO_TEST_SUITE(recovery_plan)
 
-BOOST_DATA_TEST_CASE(the_cheapest_way_that_fits_is_taken,
+BOOST_DATA_TEST_CASE(the_cheapest_recovery_that_fits_is_chosen,
                      boost::unit_test::data::make(ChoiceRows), row) {
   RecoveryPlan plan = smallPlan();
   plan.open(answer("1", 100, row.ExpectedLength), A);
@@ -151,7 +152,7 @@
   BOOST_TEST(actions.Resumes.size() == row.Resumes);
 }
 
-BOOST_AUTO_TEST_CASE(a_moved_answer_recomputes_only_what_came_meanwhile) {
+BOOST_AUTO_TEST_CASE(a_moved_answer_recomputes_only_tokens_after_the_export) {
   RecoveryPlan plan = smallPlan();
   plan.open(answer("1", 100, 2000), A);
   plan.notice(Start, {A}, Start + seconds(10));
@@ -164,9 +165,9 @@
 }
 
 // All remaining engines are full. Another answer would slow down those that
-// they serve, so it waits. New calls must not take the next free place: in a
-// benchmark run they kept answers waiting for 39 s.
-BOOST_AUTO_TEST_CASE(without_room_an_answer_waits) {
+// they serve, so it waits. New calls must not take the capacity that becomes
+// free next: in a benchmark run they kept answers waiting for 39 s.
+BOOST_AUTO_TEST_CASE(an_answer_waits_while_all_engines_are_full) {
   RecoveryPlan plan = smallPlan();
   plan.open(answer("1", 100, 2000), A);
   int n = 10;
@@ -185,7 +186,7 @@
 }
 
 // The target engine of a running cache move is reclaimed, too.
-BOOST_AUTO_TEST_CASE(a_second_wave_redirects_what_is_under_way) {
+BOOST_AUTO_TEST_CASE(a_second_reclaim_redirects_a_running_move) {
   RecoveryPlan plan = smallPlan();
   plan.open(answer("1", 100, 2000), A);
   RecoveryActions actions = plan.notice(Start, {A}, Start + seconds(10));
@@ -226,7 +227,7 @@
 
 // All listed engines have failed, and new ones are listed a moment later.
 // Retrying the failed ones at once would use up the answer's attempts before
-// that.
+// then.
 BOOST_AUTO_TEST_CASE(an_engine_that_fails_an_answer_is_avoided_for_a_while) {
   RecoveryPlan plan = smallPlan();
   plan.open(answer("1", 100, 2000), A);
@@ -265,29 +266,30 @@
   }
 }
 
-// The same check must fail without each mechanism.
-BOOST_DATA_TEST_CASE(randomised_runs_without_checked_arrivals_fail,
+// The same check must fail when a mechanism is disabled. Without token checks,
+// it must fail for each fault that affects tokens.
+BOOST_DATA_TEST_CASE(randomised_runs_without_token_checks_fail,
                      boost::unit_test::data::make(FaultRows), faults) {
   const bool touchesTokens = faults.Faults.Lost + faults.Faults.Late +
                                  faults.Faults.Misrouted +
                                  faults.Faults.Duplicated >
                              0;
   const std::uint64_t n =
-      failing(WaveRows[0], faults.Faults,
-              [](FleetSettings &it) { it.SkipsTokenChecks = true; });
+      failingSeeds(WaveRows[0], faults.Faults,
+                   [](FleetSettings &it) { it.SkipsTokenChecks = true; });
   BOOST_TEST(n == (touchesTokens ? SeedsInCi : 0));
 }
 
 BOOST_AUTO_TEST_CASE(randomised_runs_without_recovery_fail) {
   auto without = [](FleetSettings &it) { it.Policy = RecoveryPolicy::Nothing; };
-  BOOST_TEST(failing(WaveRows[1], {}, without) > 0U);
+  BOOST_TEST(failingSeeds(WaveRows[1], {}, without) > 0U);
 }
 
 BOOST_AUTO_TEST_CASE(randomised_runs_that_resume_at_once_overload_engines) {
   auto atOnce = [](FleetSettings &it) {
     it.Policy = RecoveryPolicy::ResumeAtOnce;
   };
-  BOOST_TEST(failing(WaveRows[1], {}, atOnce) > 0U);
+  BOOST_TEST(failingSeeds(WaveRows[1], {}, atOnce) > 0U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Tests/LibDecision/TestRollout.cpp
+++ b/Tests/LibDecision/TestRollout.cpp
@@ -44,7 +44,7 @@
 
 BOOST_AUTO_TEST_SUITE(RolloutTests)
 
-BOOST_AUTO_TEST_CASE(knowledge_joins_alike_in_any_order) {
+BOOST_AUTO_TEST_CASE(knowledge_merges_alike_in_any_order) {
   RolloutKnowledge a;
   RolloutKnowledge b;
   a.Evidence.record(Source, {VersionId("new"), RouteId("chat")},
@@ -72,7 +72,7 @@
 // A booking that failed may have run and must not be retried. If bookings were
 // rolled out together with the lookups, each fault would leave some of them
 // with an unknown outcome.
-BOOST_AUTO_TEST_CASE(routes_that_may_not_be_repeated_move_last) {
+BOOST_AUTO_TEST_CASE(non_repeatable_routes_start_last) {
   const auto stages = stagesOf(planFor(DeadlinePolicy::Safe));
   double before = 0;
   for (const StageShare &it : stages) {
@@ -104,9 +104,9 @@
 }
 
 // A daemon is paused while another one vetoes the version. After the pause, its
-// sockets deliver calls before the veto, and its callers would reach the bad
+// sockets deliver new calls before the veto, and these would reach the bad
 // version.
-BOOST_AUTO_TEST_CASE(a_daemon_that_was_paused_asks_before_it_sends_more) {
+BOOST_AUTO_TEST_CASE(a_paused_daemon_queries_its_peers_before_it_sends_more) {
   RolloutKnowledge knowledge;
   raiseStage(knowledge, VersionId("new"), {3, Start});
   Rollout rollout(planFor(DeadlinePolicy::Safe), Self);
@@ -129,7 +129,7 @@
   BOOST_CHECK_GT(keysToNew(rollout.shares(), true, resumed), 300);
 }
 
-BOOST_AUTO_TEST_CASE(a_veto_holds_for_good) {
+BOOST_AUTO_TEST_CASE(a_veto_is_permanent) {
   RolloutKnowledge knowledge;
   raiseStage(knowledge, VersionId("new"), {3, Start});
   addVeto(knowledge, vetoAt(Start, "127.0.0.2"));
@@ -144,7 +144,7 @@
 
 // Most hosts of a large fleet receive steps and vetoes, but only their own
 // evidence. It would be too little to decide on a step for the whole fleet.
-BOOST_AUTO_TEST_CASE(a_follower_takes_over_steps_and_takes_none) {
+BOOST_AUTO_TEST_CASE(a_follower_applies_steps_and_decides_none) {
   RolloutKnowledge knowledge;
   Rollout rollout(planFor(DeadlinePolicy::InTime), Self);
   for (int n = 0; n < 20 * 60; ++n)
