--- a/Libraries/LibDecision/CallTicket.h
+++ b/Libraries/LibDecision/CallTicket.h
@@ -11,8 +11,8 @@
 struct CallTicket {
   IncarnationId Owner;
   /// The address, "ip:port", at which the owner listens for callers. Another
-  /// process may have it by now, so the address alone does not identify
-  /// the owner.
+  /// process may have it by now, so the address alone does not identify the
+  /// owner.
   std::string Address;
   /// By the owner's clock; no other host evaluates it.
   Instant Expiry{};
--- a/Libraries/LibDecision/DeskCallAnswer.h
+++ b/Libraries/LibDecision/DeskCallAnswer.h
@@ -45,8 +45,8 @@
 struct DeskCallAnswer {
   CallOutcome Outcome = CallOutcome::Unknown;
   RefusalReason Reason = RefusalReason::None;
-  /// The desk's answer if the outcome is Done. The body is missing if it
-  /// is too large for the ledger.
+  /// The desk's answer if the outcome is Done. The body is missing if it is
+  /// too large for the ledger.
   int Status = 0;
   std::string Body;
   bool HasBody = false;
--- a/Libraries/LibDecision/DeskCallProtocol.cpp
+++ b/Libraries/LibDecision/DeskCallProtocol.cpp
@@ -18,12 +18,12 @@
 DeskCallActions DeskCallProtocol::start(Instant at) {
   StartedAt = at;
   if (isForeignTicket()) {
-    Now = Step::AwaitForward;
+    CurrentStep = Step::AwaitForward;
     return {ForwardToOwner{Ticket->Owner}};
   }
   if (Call.Purpose == CallPurpose::Query)
     return close(RefusalReason::Closed);
-  Now = Step::AwaitIntent;
+  CurrentStep = Step::AwaitIntent;
   return {edit(EditKind::PutIntent)};
 }
 
@@ -39,7 +39,7 @@
 
 DeskCallActions DeskCallProtocol::onEdit(const EditOutcome &outcome,
                                          Instant at) {
-  switch (Now) {
+  switch (CurrentStep) {
   case Step::AwaitIntent:
     return onIntent(outcome, at);
   case Step::AwaitClose:
@@ -72,11 +72,11 @@
 }
 
 DeskCallActions DeskCallProtocol::onResult(const EditOutcome &outcome) {
-  Now = Step::Finished;
+  CurrentStep = Step::Finished;
   const bool wasRecorded = outcome.Verdict != EditVerdict::Unavailable;
   if (wasRecorded || ResultTries >= Settings.MaxResultTries)
     return {};
-  Now = Step::AwaitResult;
+  CurrentStep = Step::AwaitResult;
   ResultTries++;
   SubmitEdit again = edit(EditKind::PutResult);
   again.After = Settings.ResultRetryDelay * ResultTries;
@@ -85,20 +85,20 @@
 
 DeskCallActions DeskCallProtocol::onDeskAnswered(int status,
                                                  const std::string &body) {
-  if (Now != Step::AwaitDesk)
+  if (CurrentStep != Step::AwaitDesk)
     return {};
   DeskStatus = status;
   DeskBody = body;
   DeskCallActions actions = answer(
       {CallOutcome::Done, RefusalReason::None, status, body, true, Duration{}});
-  Now = Step::AwaitResult;
+  CurrentStep = Step::AwaitResult;
   ResultTries = 1;
   actions.push_back(edit(EditKind::PutResult));
   return actions;
 }
 
 DeskCallActions DeskCallProtocol::onDeskRefused() {
-  if (Now != Step::AwaitDesk)
+  if (CurrentStep != Step::AwaitDesk)
     return {};
   MayHaveRun = false;
   if (IsAnswered || DesksTried >= Settings.MaxDeskTries)
@@ -107,27 +107,27 @@
 }
 
 DeskCallActions DeskCallProtocol::onDeskLost() {
-  if (Now != Step::AwaitDesk)
+  if (CurrentStep != Step::AwaitDesk)
     return {};
   return refuse(RefusalReason::DeskLost);
 }
 
 DeskCallActions
 DeskCallProtocol::onForwardAnswered(const DeskCallAnswer &forwarded) {
-  if (Now != Step::AwaitForward)
+  if (CurrentStep != Step::AwaitForward)
     return {};
-  Now = Step::Finished;
+  CurrentStep = Step::Finished;
   return answer(forwarded);
 }
 
 DeskCallActions DeskCallProtocol::onForwardRefused() {
-  if (Now != Step::AwaitForward)
+  if (CurrentStep != Step::AwaitForward)
     return {};
   return refuse(RefusalReason::OwnerUnreachable);
 }
 
 DeskCallActions DeskCallProtocol::onForwardLost() {
-  if (Now != Step::AwaitForward)
+  if (CurrentStep != Step::AwaitForward)
     return {};
   MayHaveRun = true;
   return refuse(RefusalReason::OwnerUnreachable);
@@ -137,7 +137,7 @@
   if (IsAnswered)
     return {};
   DeskCallAnswer refusal;
-  const bool isWithOwner = Now == Step::AwaitForward;
+  const bool isWithOwner = CurrentStep == Step::AwaitForward;
   refusal.Outcome = isKnownNotRun() && !isWithOwner ? CallOutcome::NotRun
                                                     : CallOutcome::Unknown;
   refusal.Reason = RefusalReason::DeadlinePassed;
@@ -150,7 +150,7 @@
                   "desk-call.intent-before-send",
                   "a call would have been sent without its intent, twice, or "
                   "after its answer");
-  Now = Step::AwaitDesk;
+  CurrentStep = Step::AwaitDesk;
   MayHaveRun = true;
   DesksTried++;
   return {SendToDesk{}};
@@ -159,7 +159,7 @@
 DeskCallActions DeskCallProtocol::close(RefusalReason reason) {
   verifyInvariant(!MayHaveRun, "desk-call.no-close-after-send",
                   "a call that may have reached a desk would have been closed");
-  Now = Step::AwaitClose;
+  CurrentStep = Step::AwaitClose;
   CloseReason = reason;
   return {edit(EditKind::Close)};
 }
@@ -168,13 +168,13 @@
                                                    RefusalReason reason) {
   switch (outcome.Verdict) {
   case EditVerdict::AlreadyDone: {
-    Now = Step::Finished;
+    CurrentStep = Step::Finished;
     const LedgerEntry &entry = *outcome.Entry;
     return answer({CallOutcome::Done, RefusalReason::None, entry.Status,
                    entry.Answer, entry.HasAnswer, Duration{}});
   }
   case EditVerdict::NotRun: {
-    Now = Step::Finished;
+    CurrentStep = Step::Finished;
     return answer({CallOutcome::NotRun,
                    reason,
                    0,
@@ -183,7 +183,7 @@
                    Settings.RetryAfterRefusal});
   }
   case EditVerdict::HeldByOther: {
-    Now = Step::Finished;
+    CurrentStep = Step::Finished;
     return answer({CallOutcome::Unknown,
                    RefusalReason::InFlight,
                    0,
@@ -201,7 +201,7 @@
 // Refuses the call. The outcome is derived from the state of this attempt
 // alone.
 DeskCallActions DeskCallProtocol::refuse(RefusalReason reason) {
-  Now = Step::Finished;
+  CurrentStep = Step::Finished;
   DeskCallAnswer refusal;
   refusal.Outcome =
       isKnownNotRun() ? CallOutcome::NotRun : CallOutcome::Unknown;
--- a/Libraries/LibDecision/DeskCallProtocol.h
+++ b/Libraries/LibDecision/DeskCallProtocol.h
@@ -57,8 +57,8 @@
 };
 
 /// Send the call to a replica that has not been tried yet, over a new
-/// connection. On a pooled connection that turns out to be dead it is unknown
-/// whether the call arrived.
+/// connection. If a pooled connection turned out to be closed, it would be
+/// unknown whether the call arrived.
 struct SendToDesk {};
 
 /// Forward the call to the daemon that owns its ticket.
@@ -77,12 +77,12 @@
 
 /// State machine of one attempt at a non-repeatable call. The intent is in the
 /// ledger before the first byte is sent to a desk, and the answer to the caller
-/// is about the key rather than the attempt.
+/// applies to the key rather than to the attempt.
 ///
 /// "Not run" covers this attempt and all earlier ones. It is answered
 /// - when the ledger or the ticket table has a closed mark that covers them;
-/// - when this attempt holds the intent and has sent nothing: the intent kept
-///   all other attempts out, and this attempt ends here;
+/// - when this attempt holds the intent and has sent nothing: the intent
+///   excluded all other attempts, and this attempt ends here;
 /// - when this is the declared first attempt and it has sent nothing: no other
 ///   attempt can have sent anything.
 /// In every other case the answer is "unknown".
@@ -114,7 +114,7 @@
 
   const DeskCall &call() const { return Call; }
   bool isAnswered() const { return IsAnswered; }
-  bool isFinished() const { return Now == Step::Finished; }
+  bool isFinished() const { return CurrentStep == Step::Finished; }
 
 private:
   enum class Step {
@@ -143,7 +143,7 @@
   DeskCall Call;
   DeskCallSettings Settings;
   std::optional<CallTicket> Ticket;
-  Step Now = Step::Created;
+  Step CurrentStep = Step::Created;
   RefusalReason CloseReason = RefusalReason::None;
   Instant StartedAt{};
   bool HoldsIntent = false;
--- a/Libraries/LibDecision/HostPlanner.cpp
+++ b/Libraries/LibDecision/HostPlanner.cpp
@@ -28,10 +28,10 @@
 
 /// The wanted slots of the plan for which the predicate holds.
 HostPlan filterWanted(const HostPlan &plan,
-                      const std::function<bool(const Slot &)> &holds) {
+                      const std::function<bool(const Slot &)> &isSelected) {
   HostPlan out;
   for (const Slot &it : plan.Slots)
-    if (it.IsWanted && holds(it))
+    if (it.IsWanted && isSelected(it))
       out.Slots.push_back(it);
   return out;
 }
@@ -49,8 +49,8 @@
   slot.RetiredAt = now;
 }
 
-/// Returns a slot with a new token: one whose host is gone for good, or an
-/// added one. A token that was retired is never wanted again, so that orders
+/// Returns a slot with a new token: a retired one whose host no longer runs, or
+/// an added one. A token that was retired is never wanted again, so that orders
 /// based on an outdated plan can neither create nor delete a host that is
 /// wanted now.
 Slot &freeSlot(HostPlan &plan, const HostPlannerInput &view) {
@@ -155,16 +155,16 @@
                                 const HostMix &wanted,
                                 const HostPlannerInput &view,
                                 Instant now) const {
-  std::vector<HostCount> left = wanted;
+  std::vector<HostCount> unmatched = wanted;
   for (Slot &slot : decision.Plan.Slots) {
     if (!slot.IsWanted)
       continue;
-    const auto place =
-        std::find_if(left.begin(), left.end(), [&](const HostCount &it) {
+    const auto match = std::find_if(
+        unmatched.begin(), unmatched.end(), [&](const HostCount &it) {
           return it.Offer.isSameAs(slot.From) && it.Hosts > 0;
         });
-    if (place != left.end()) {
-      --place->Hosts;
+    if (match != unmatched.end()) {
+      --match->Hosts;
       continue;
     }
     const HostMix without =
--- a/Libraries/LibDecision/LedgerBucket.h
+++ b/Libraries/LibDecision/LedgerBucket.h
@@ -10,8 +10,8 @@
 /// Limits on the size and the retention of a bucket.
 struct LedgerLimits {
   std::size_t MaxBytes = MaxObjectBytes;
-  /// Largest answer that is stored for retries, in bytes. A larger one
-  /// is left out of the entry.
+  /// Largest answer that is stored for retries, in bytes. A larger one is
+  /// left out of the entry.
   std::size_t MaxAnswerBytes = 1024;
   /// How long an entry is kept after its last change. A key must not be reused
   /// after that time.
--- a/Libraries/LibDecision/Rollout.cpp
+++ b/Libraries/LibDecision/Rollout.cpp
@@ -208,7 +208,8 @@
   if (followVeto(knowledge))
     return;
   followStage(knowledge, now);
-  // Continues at the full share and after the end, since some faults show late.
+  // Judging continues at the full share and after completion, since some faults
+  // show late.
   if (judge(knowledge, now)) {
     followVeto(knowledge);
     return;
--- a/Libraries/LibDecision/RolloutKnowledge.h
+++ b/Libraries/LibDecision/RolloutKnowledge.h
@@ -81,9 +81,9 @@
 partOf(const RolloutKnowledge &knowledge,
        const std::function<bool(const EvidenceSource &)> &isWanted);
 
-/// The part that a daemon sends to its peers in every message: its own
-/// counters, the vetoes and the stages. The counters of other daemons are sent
-/// less often, for peers that were disconnected from those daemons.
+/// The part that a daemon regularly sends to its peers: its own counters, the
+/// vetoes and the stages. The counters of other daemons are sent less often,
+/// for peers that were disconnected from those daemons.
 RolloutKnowledge ownPart(const RolloutKnowledge &knowledge,
                          const EvidenceSource &self);
 
--- a/Tests/LibDecision/RandomisedRollout.cpp
+++ b/Tests/LibDecision/RandomisedRollout.cpp
@@ -121,7 +121,7 @@
 
 // Each mechanism exists for one kind of fault. Without it, more callers reach
 // the faulty version, and the same check must fail.
-BOOST_AUTO_TEST_CASE(randomised_variants_are_found_wrong) {
+BOOST_AUTO_TEST_CASE(randomised_variants_fail_the_check) {
   for (const VariantRow &row : variantRows()) {
     BOOST_TEST_INFO(row.Variant.Name);
     std::string fault;
--- a/Tests/LibDecision/TestCanaryJudge.cpp
+++ b/Tests/LibDecision/TestCanaryJudge.cpp
@@ -76,8 +76,8 @@
 }
 
 // A fault on a route with few calls is hidden by the good calls of the other
-// routes, so that the rollout would reach its full share although each caller
-// of that route sees the fault.
+// routes, so that callers of that route would see it until the rollout had
+// reached its full share.
 BOOST_AUTO_TEST_CASE(finds_a_fault_on_one_quiet_route_and_names_it) {
   EvidencePool pool;
   CanaryJudge judge = makeJudge(pool);
