--- a/Libraries/LibObjectApi/HttpObjectApi.cpp
+++ b/Libraries/LibObjectApi/HttpObjectApi.cpp
@@ -77,8 +77,9 @@
         {"If-Match", "\"" + std::to_string(expectedVersion) + "\""});
   HttpReply reply;
   try {
-    // Not through the pool: it resends by itself, and a write whose first
-    // attempt took effect would then look like a conflict with another writer.
+    // Not through the pool: it resends calls automatically, and a write whose
+    // first attempt took effect would then look like a conflict with another
+    // writer.
     reply = sendOnce(connection.Address, call);
   } catch (const HttpNotSent &error) {
     throw ObjectApiUnavailable(error.what());
--- a/Libraries/LibObjectApi/InstrumentedStore.h
+++ b/Libraries/LibObjectApi/InstrumentedStore.h
@@ -16,7 +16,7 @@
 ResourceStore instrumentedStore(const ResourceStore &store,
                                 const StoreCallHook &onCall);
 
-/// Whether a call with this result did not reach the store or got no response.
+/// Whether a call with this result did not reach the store or got no reply.
 /// A call that the store rejected because of its data has reached it.
 bool isUnreached(std::optional<StoreFailure> failure);
 
--- a/Libraries/LibObjectApi/ResourceStore.h
+++ b/Libraries/LibObjectApi/ResourceStore.h
@@ -22,8 +22,8 @@
   Hosts,
   /// The holder of each duty; written by the daemons.
   Duties,
-  /// Usage that is about to be reported, so that a successor reports the same;
-  /// written by the daemons.
+  /// Usage that is about to be reported, so that a later holder of the duty
+  /// reports the same; written by the daemons.
   Usage,
   /// The operators' orders to send no calls to a zone's upstreams. An order is
   /// named after its zone and is in force until it is removed.
@@ -76,7 +76,7 @@
   bool IsTruncated = false;
   /// The time since the start of the call to the store that returned them.
   Duration Age{};
-  /// The receiver's clock as last received by the reporter, in microseconds.
+  /// The receiver's clock as last received by the sender, in microseconds.
   /// The changes were sent later than that, however long they were in transit.
   /// 0 if unknown or if the changes don't confirm the receiver's view.
   std::int64_t Echo = 0;
@@ -86,7 +86,7 @@
 enum class StoreFailure {
   /// The call had no effect: the store is overloaded, down or unreachable.
   Unavailable,
-  /// A write was sent but no response arrived. It may have taken effect or may
+  /// A write was sent but no reply arrived. It may have taken effect or may
   /// still do so.
   Unknown,
   /// The object has another revision or already exists.
--- a/Libraries/LibObjectApi/ResourceWatcher.cpp
+++ b/Libraries/LibObjectApi/ResourceWatcher.cpp
@@ -47,7 +47,8 @@
   std::uint64_t AtRevision = 0;
   Instant LastSuccess{};
   Instant DeferRemovalsUntil{};
-  /// When changes were last relayed, or queried in place of them.
+  /// When relayed changes were last received, or the store was last queried in
+  /// place of them.
   Instant LastUpdateAt{};
   /// The view contains all that the store held at this time.
   Instant ConfirmedAt{};
@@ -83,7 +84,8 @@
     self->LastUpdateAt = bootNow();
     self->HasGap = false;
     self->confirm(begun);
-    // Other hosts can't watch from their revisions either.
+    // The other hosts' revisions are also too old to watch from, so the changes
+    // are relayed to them.
     if (self->HasListed)
       self->Hooks.OnWatched(from, changes, begun);
     self->HasListed = true;
@@ -203,11 +205,11 @@
     return;
   }
   LastUpdateAt = now;
-  // The reporter got a response from the store, so the time since this host's
-  // own last query is not an outage after which removals must be deferred.
+  // The sender got a reply from the store, so the time since this host's own
+  // last query is not an outage after which removals must be deferred.
   succeeded(now);
-  // The changes were sent after the echo; they may have been in transit for
-  // long.
+  // The echo is a time of this host's clock before the changes were sent, so
+  // their age is not underestimated after a long time in transit.
   const Instant begun = Instant(microseconds(relayed.Echo)) - relayed.Age;
   // Without this check, two hosts that both relay changes would send them back
   // and forth endlessly.
@@ -236,7 +238,7 @@
   MustList = mustList;
   if (HasListed && failure != StoreFailure::HistoryGone && !Hooks.IsPolling())
     return queryIfNeeded(bootNow());
-  // If the history is gone, the view is already stale: list at once.
+  // Without the history, the view is already stale: list at once.
   Timer.expires_after(failure == StoreFailure::HistoryGone ? Duration::zero()
                                                            : retryDelay());
   Timer.async_wait(
@@ -276,7 +278,7 @@
 void ResourceWatcher::Impl::applyRemoval(const std::string &name,
                                          std::uint64_t revision) {
   const auto known = Known.find(name);
-  // One of two reporters may lag behind: an object that it reports as removed
+  // One of two relaying hosts may lag behind: an object that it reports removed
   // may have been created again.
   if (known == Known.end() || known->second > revision)
     return;
--- a/Libraries/LibObjectApi/ResourceWatcher.h
+++ b/Libraries/LibObjectApi/ResourceWatcher.h
@@ -15,8 +15,9 @@
   /// The longest time that one watch waits for changes. The view is confirmed
   /// only when the watch returns.
   Duration WaitLimit = seconds(1);
-  /// The wait limit of the first watch of a host that takes over polling for
-  /// other hosts, which have received no changes since the previous one failed.
+  /// The wait limit of the first watch after this host has taken over polling
+  /// from a failed host. It is short because the other hosts have received no
+  /// changes since that failure.
   Duration FirstWaitLimit = milliseconds(50);
   /// The delay between a watch that returned changes and the next watch, so
   /// that changes made together are returned together. Each watch is a billed
@@ -28,8 +29,8 @@
   Duration RetryDelay = milliseconds(150);
   Duration MaxRetryDelay = milliseconds(600);
   /// The time without a successful call, beyond WaitLimit, after which an
-  /// outage of the store is assumed. After an outage, objects may be missing
-  /// that will be registered again.
+  /// outage of the store is assumed. Objects that are missing after an outage
+  /// may be registered again, so their removal is deferred by RecoveryTime.
   Duration OutageAfter = seconds(1);
   /// The time for which removals are deferred after an outage.
   Duration RecoveryTime = seconds(2);
@@ -56,8 +57,8 @@
   /// Whether this host queries the store continuously. Other hosts wait for
   /// relayed changes.
   std::function<bool()> IsPolling = [] { return true; };
-  /// Whether this host's last call did not reach the store. It then has to
-  /// query the store periodically to detect that the store is reachable again.
+  /// Whether this host's last call did not reach the store. The host then
+  /// queries the store periodically to detect that it is reachable again.
   std::function<bool()> IsUnreached = [] { return false; };
   /// Whether this watcher makes those periodic queries.
   std::function<bool()> IsProber = [] { return true; };
@@ -66,7 +67,7 @@
 /// Maintains a view of one resource kind: lists it, then watches it, and lists
 /// it again when the store no longer keeps the history. The view's age counts
 /// from the start of the last call that confirmed it. A host that receives
-/// relayed changes is idle, and queries the store itself when the relayed
+/// relayed changes makes no calls; it queries the store itself when the relayed
 /// changes stop, have a gap, or may be too old. Must be used on the loop's
 /// thread only.
 class ResourceWatcher {
--- a/Libraries/LibOperator/BundleCodec.cpp
+++ b/Libraries/LibOperator/BundleCodec.cpp
@@ -143,7 +143,7 @@
 Bundle decodeBundle(const std::string &bytes) {
   if (bytes.size() > MaxBundleBytes)
     throw BundleTooLarge("the bundle has " + std::to_string(bytes.size()) +
-                         " bytes, more than the maximum size");
+                         " bytes; the maximum is 524288");
   Bundle bundle;
   try {
     bundle = bundleOf(json::from_cbor(bytes));
--- a/Libraries/LibOperator/CallTimeline.cpp
+++ b/Libraries/LibOperator/CallTimeline.cpp
@@ -118,9 +118,9 @@
           line.TimeMs + WindowAfterMs};
 }
 
-/// Describes how many other calls failed at the same upstream in that window,
-/// and on how many hosts. Many failures point to the upstream as the cause; a
-/// single one does not.
+/// Describes how many other calls failed at the same upstream in the call's
+/// time window, and on how many hosts. Many failures point to the upstream as
+/// the cause; a single one does not.
 std::string describeOtherFailures(const TimelineEntry &end,
                                   const std::vector<TimelineEntry> &lines) {
   const TimeWindow window = windowOf(end);
--- a/Libraries/LibOperator/RolloutStatusObject.cpp
+++ b/Libraries/LibOperator/RolloutStatusObject.cpp
@@ -15,7 +15,7 @@
         PublishedRolloutState::TakenBack})
     if (name == nameOf(it))
       return it;
-  throw MoveStatusMalformed("unknown rollout state \"" + name + "\"");
+  throw RolloutStatusMalformed("unknown rollout state \"" + name + "\"");
 }
 
 ordered_json evidenceToJson(const std::vector<RouteEvidence> &evidence) {
@@ -45,7 +45,7 @@
     return {};
   const auto at = parseRfc3339(value.get<std::string>());
   if (!at)
-    throw MoveStatusMalformed(std::string(key) + " is not an RFC 3339 time");
+    throw RolloutStatusMalformed(std::string(key) + " is not an RFC 3339 time");
   return *at;
 }
 
@@ -103,7 +103,7 @@
   try {
     return fromJson(ordered_json::parse(text));
   } catch (const ordered_json::exception &error) {
-    throw MoveStatusMalformed(
+    throw RolloutStatusMalformed(
         std::string("the status of a rollout can't be decoded: ") +
         error.what());
   }
@@ -117,8 +117,8 @@
   return out;
 }
 
-bool areMovesSettled(const Bundle &bundle,
-                     const std::vector<RolloutStatusObject> &statuses) {
+bool areRolloutsSettled(const Bundle &bundle,
+                        const std::vector<RolloutStatusObject> &statuses) {
   const auto isSettled = [&](const UpstreamVersion &version) {
     return version.Deadline == Instant() ||
            std::any_of(statuses.begin(), statuses.end(),
--- a/Libraries/LibOperator/RolloutStatusObject.h
+++ b/Libraries/LibOperator/RolloutStatusObject.h
@@ -49,24 +49,24 @@
 constexpr const char *MoveStatusPrefix = "status/moves/";
 
 /// An object with the prefix MoveStatusPrefix is not the status of a rollout.
-class MoveStatusMalformed : public Error {
+class RolloutStatusMalformed : public Error {
 public:
   using Error::Error;
 };
 
 /// Encodes the status as a JSON object on one line.
 std::string encodeMoveStatus(const RolloutStatusObject &status);
-/// Decodes a status. Throws MoveStatusMalformed.
+/// Decodes a status. Throws RolloutStatusMalformed.
 RolloutStatusObject decodeMoveStatus(const std::string &text);
 
 /// Reads the status of all rollouts, sorted by the versions' ids. Throws
-/// ObjectApiUnavailable or MoveStatusMalformed.
+/// ObjectApiUnavailable or RolloutStatusMalformed.
 std::vector<RolloutStatusObject> readMoveStatuses(const ObjectApi &api);
 
 /// Whether the rollouts of all versions with a deadline have ended under this
 /// bundle. Daemons write the first status some time after the bundle is rolled,
 /// so a missing or older status means that the rollout has not begun.
-bool areMovesSettled(const Bundle &bundle,
-                     const std::vector<RolloutStatusObject> &statuses);
+bool areRolloutsSettled(const Bundle &bundle,
+                        const std::vector<RolloutStatusObject> &statuses);
 
 } // namespace sorrelbay
--- a/Libraries/LibOperator/SignedBundle.cpp
+++ b/Libraries/LibOperator/SignedBundle.cpp
@@ -51,7 +51,7 @@
   if (bytes.size() > MaxBundleBytes)
     throw BundleTooLarge("the signed bundle has " +
                          std::to_string(bytes.size()) +
-                         " bytes, more than the maximum size");
+                         " bytes; the maximum is 524288");
   try {
     const json value = json::from_cbor(bytes);
     if (!value.contains("signature") || !value.contains("key"))
--- a/Libraries/LibPeer/FleetLink.cpp
+++ b/Libraries/LibPeer/FleetLink.cpp
@@ -83,47 +83,51 @@
 
 FleetLink::FleetLink(boost::asio::io_context &loop, const std::string &listen,
                      Hooks hooks)
-    : All(std::make_shared<Impl>(std::move(hooks))) {
-  All->Socket = std::make_unique<PeerSocket>(listen, All->events(), &loop);
+    : Implementation(std::make_shared<Impl>(std::move(hooks))) {
+  Implementation->Socket =
+      std::make_unique<PeerSocket>(listen, Implementation->events(), &loop);
 }
 
 FleetLink::~FleetLink() = default;
 
-std::string FleetLink::address() const { return All->Socket->address(); }
+std::string FleetLink::address() const {
+  return Implementation->Socket->address();
+}
 
 void FleetLink::keep(const std::map<HostId, std::string> &peers, Instant now) {
-  for (auto it = All->Peers.begin(); it != All->Peers.end();) {
+  for (auto it = Implementation->Peers.begin();
+       it != Implementation->Peers.end();) {
     const auto wanted = peers.find(it->first);
     const bool isWanted =
         wanted != peers.end() && wanted->second == it->second.Address;
     if (!isWanted)
-      All->drop(it->second);
-    it = isWanted ? std::next(it) : All->Peers.erase(it);
+      Implementation->drop(it->second);
+    it = isWanted ? std::next(it) : Implementation->Peers.erase(it);
   }
   for (const auto &[id, address] : peers) {
     if (address.empty())
       continue;
-    Impl::Peer &peer = All->Peers[id];
+    Impl::Peer &peer = Implementation->Peers[id];
     peer.Address = address;
     if (peer.IsOpen)
       continue;
     if (peer.Connection != 0 &&
         now - peer.LastAttemptAt > ConnectAttemptTimeout)
-      All->drop(peer);
+      Implementation->drop(peer);
     if (peer.Connection != 0 || now - peer.LastAttemptAt < ReconnectInterval)
       continue;
     peer.LastAttemptAt = now;
-    peer.Connection = All->Socket->connect(peer.Address);
-    All->Outgoing[peer.Connection] = id;
+    peer.Connection = Implementation->Socket->connect(peer.Address);
+    Implementation->Outgoing[peer.Connection] = id;
   }
 }
 
 void FleetLink::send(const std::vector<HostId> &peers,
                      const std::string &bytes) {
   for (const HostId &it : peers) {
-    const auto peer = All->Peers.find(it);
-    if (peer != All->Peers.end() && peer->second.IsOpen)
-      All->Socket->send(peer->second.Connection, bytes);
+    const auto peer = Implementation->Peers.find(it);
+    if (peer != Implementation->Peers.end() && peer->second.IsOpen)
+      Implementation->Socket->send(peer->second.Connection, bytes);
   }
 }
 
--- a/Libraries/LibPeer/FleetLink.h
+++ b/Libraries/LibPeer/FleetLink.h
@@ -46,7 +46,7 @@
   struct Impl;
 
 private:
-  std::shared_ptr<Impl> All;
+  std::shared_ptr<Impl> Implementation;
 };
 
 } // namespace sorrelbay
--- a/Libraries/LibPeer/HostTable.h
+++ b/Libraries/LibPeer/HostTable.h
@@ -15,9 +15,10 @@
                         Instant at);
   /// Records a message that was received directly from the host.
   void recordContact(const HostId &host, Instant at);
-  /// Returns whether callers may be sent to the host: it has been seen within
-  /// the given time, either directly or by at least two reports. A first report
-  /// alone does not count, since a peer may have kept it for a long time.
+  /// Returns whether callers may be sent to the host: a message from it or a
+  /// newer report of it has been received within the given time. The first
+  /// report of a host does not count, since a peer may have kept it for a long
+  /// time.
   bool wasSeenRecently(const HostId &host, Instant at,
                        Duration seenWithin) const;
   /// Returns whether the host has been seen recently enough for an attempt to
@@ -31,7 +32,7 @@
 private:
   struct HostActivity {
     Instant LastAt{};
-    /// Whether the host was seen directly or by more than one report.
+    /// Whether a message from the host or a second report of it was received.
     bool HasNewerReport = false;
   };
   std::map<HostId, HostActivity> HostActivities;
--- a/Libraries/LibPeer/MeshActions.h
+++ b/Libraries/LibPeer/MeshActions.h
@@ -36,8 +36,9 @@
   std::function<bool(const BundleMark &)> AcceptBundle;
   /// Called with the part of a peer's update that was not known before.
   std::function<void(const PeerKnowledge &)> OnKnowledge;
-  /// Called when all that the peer knew at the given time, by this host's
-  /// clock, is known here, except counters and reports of other hosts.
+  /// Called when this host has received the peer's whole knowledge as of the
+  /// given time, by this host's clock, except counters and reports of other
+  /// hosts.
   std::function<void(const HostId &, Instant)> OnFresh;
   std::function<void(const HostId &, const PeerRequest &, PeerRespond)>
       OnRequest;
--- a/Libraries/LibPeer/MeshState.h
+++ b/Libraries/LibPeer/MeshState.h
@@ -21,8 +21,8 @@
   Duration SilenceTimeout;
   /// The interval between two updates with the host's own changes.
   Duration UpdateInterval;
-  /// The interval between two updates with all that the host knows, for hosts
-  /// that can't reach the source of a change.
+  /// The interval between two updates with the whole knowledge of the host, for
+  /// hosts that can't reach the source of a change.
   Duration FullUpdateInterval;
   /// The interval between two reports of this host. A change of IsLeaving is
   /// reported without waiting for it.
@@ -59,7 +59,7 @@
   Duration UnselectedLinkIdleTimeout = seconds(30);
 };
 
-/// Another entry host, as the owner of a mesh sees it.
+/// The state of another entry host, for the owner of a mesh.
 struct PeerView {
   HostId Host;
   ZoneId Zone;
@@ -156,7 +156,8 @@
   PeerRequests Requests;
   HostReport OwnReport;
   std::map<std::string, Instant> LastAttemptAt;
-  /// Addresses of this daemon itself, including seeds that turned out to be.
+  /// Addresses, such as those of seeds, that were found to be this daemon's
+  /// own.
   std::set<std::string> OwnAddresses;
   Instant LastEventAt;
   Instant ReportedAt{};
--- a/Libraries/LibPeer/PeerMessage.h
+++ b/Libraries/LibPeer/PeerMessage.h
@@ -27,8 +27,8 @@
 };
 
 /// Returns the time of the heartbeat. Sent after all pending updates on the
-/// connection, so that its receiver then knows all that the replying host knew
-/// at that time.
+/// connection, so that its receiver then has all the knowledge that the
+/// replying host had at that time.
 struct PeerHeartbeatReply {
   Instant HeartbeatSentAt{};
 };
--- a/Libraries/LibPeer/PeerSocket.cpp
+++ b/Libraries/LibPeer/PeerSocket.cpp
@@ -158,22 +158,22 @@
 
 PeerSocket::PeerSocket(const std::string &listen, PeerSocketEvents events,
                        boost::asio::io_context *loop)
-    : All(std::make_unique<Impl>(std::move(events), loop)) {
-  All->listen(listen);
+    : Implementation(std::make_unique<Impl>(std::move(events), loop)) {
+  Implementation->listen(listen);
 }
 
 PeerSocket::~PeerSocket() = default;
 
 std::string PeerSocket::address() const {
   boost::system::error_code ec;
-  const auto endpoint = All->Listener.get_local_endpoint(ec);
+  const auto endpoint = Implementation->Listener.get_local_endpoint(ec);
   return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
 
 void PeerSocket::run() {
-  while (!All->Context.stopped()) {
+  while (!Implementation->Context.stopped()) {
     try {
-      All->Context.run();
+      Implementation->Context.run();
     } catch (const std::exception &error) {
       // A fault of one connection must not disconnect all peers.
       LogLine(Severity::Error, "unhandled exception on the peer socket thread")
@@ -182,39 +182,39 @@
   }
 }
 
-void PeerSocket::stop() { All->Context.stop(); }
+void PeerSocket::stop() { Implementation->Context.stop(); }
 
 void PeerSocket::post(std::function<void()> work) {
-  asio::post(All->Context, std::move(work));
+  asio::post(Implementation->Context, std::move(work));
 }
 
 void PeerSocket::runPeriodically(Duration interval,
                                  const std::function<void()> &work) {
-  All->scheduleNextRun(interval, work);
+  Implementation->scheduleNextRun(interval, work);
 }
 
 ConnectionId PeerSocket::connect(const std::string &address) {
-  const ConnectionId id = ++All->LastId;
+  const ConnectionId id = ++Implementation->LastId;
   ErrorCode ec;
   const Client::connection_ptr connection =
-      All->Connector.get_connection("ws://" + address + "/peer", ec);
+      Implementation->Connector.get_connection("ws://" + address + "/peer", ec);
   if (ec) {
-    post([this, id] { All->Events.Closed(id); });
+    post([this, id] { Implementation->Events.Closed(id); });
     return id;
   }
-  All->OpenConnections[id].Initiated = connection;
-  All->installHandlers(connection, id);
+  Implementation->OpenConnections[id].Initiated = connection;
+  Implementation->installHandlers(connection, id);
   connection->set_open_handler([this, id](const websocketpp::connection_hdl &) {
-    if (All->OpenConnections.count(id) != 0)
-      All->Events.Opened(id);
+    if (Implementation->OpenConnections.count(id) != 0)
+      Implementation->Events.Opened(id);
   });
-  All->Connector.connect(connection);
+  Implementation->Connector.connect(connection);
   return id;
 }
 
 void PeerSocket::send(ConnectionId connection, const std::string &bytes) {
-  const auto it = All->OpenConnections.find(connection);
-  if (it == All->OpenConnections.end())
+  const auto it = Implementation->OpenConnections.find(connection);
+  if (it == Implementation->OpenConnections.end())
     return;
   const bool isSent = it->second.Accepted ? sendOn(it->second.Accepted, bytes)
                                           : sendOn(it->second.Initiated, bytes);
@@ -225,15 +225,15 @@
       .field("waiting_bytes_limit",
              static_cast<std::int64_t>(MaxSendBacklogBytes));
   close(connection);
-  post([this, connection] { All->Events.Closed(connection); });
+  post([this, connection] { Implementation->Events.Closed(connection); });
 }
 
 void PeerSocket::close(ConnectionId connection) {
-  const auto it = All->OpenConnections.find(connection);
-  if (it == All->OpenConnections.end())
+  const auto it = Implementation->OpenConnections.find(connection);
+  if (it == Implementation->OpenConnections.end())
     return;
   const Impl::SocketConnection socketConnection = it->second;
-  All->OpenConnections.erase(it);
+  Implementation->OpenConnections.erase(it);
   if (socketConnection.Accepted)
     abortConnection(socketConnection.Accepted);
   else
@@ -241,8 +241,8 @@
 }
 
 void PeerSocket::raiseMessageLimit(ConnectionId connection) {
-  const auto it = All->OpenConnections.find(connection);
-  if (it == All->OpenConnections.end())
+  const auto it = Implementation->OpenConnections.find(connection);
+  if (it == Implementation->OpenConnections.end())
     return;
   if (it->second.Accepted)
     it->second.Accepted->set_max_message_size(MaxPeerMessageBytes);
--- a/Libraries/LibPeer/PeerSocket.h
+++ b/Libraries/LibPeer/PeerSocket.h
@@ -70,7 +70,7 @@
 
 private:
   struct Impl;
-  std::unique_ptr<Impl> All;
+  std::unique_ptr<Impl> Implementation;
 };
 
 } // namespace sorrelbay
--- a/Tests/LibObjectApi/TestCallLedger.cpp
+++ b/Tests/LibObjectApi/TestCallLedger.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// An object API in memory. The reply to every `LoseEvery`th write is lost; 0
-/// loses none.
+/// An object API in memory. The reply to one of every `LoseEvery` writes is
+/// lost; if 0, no reply is lost.
 struct FakeObjects {
   explicit FakeObjects(std::uint64_t loseEvery) : LoseEvery(loseEvery) {}
 
--- a/Tests/LibObjectApi/TestRelayedChangesParts.cpp
+++ b/Tests/LibObjectApi/TestRelayedChangesParts.cpp
@@ -41,7 +41,7 @@
 
 // Half of a large fleet's replicas leave at once. The changes were too large to
 // be relayed, so hundreds of hosts queried the store, most of them without
-// success, and calls were sent to upstreams that had left long before.
+// success, and calls were sent to upstreams that had long been removed.
 BOOST_AUTO_TEST_CASE(large_changes_are_split_into_consecutive_parts) {
   const auto parts = splitIntoParts(relayedOf(1500), 48000);
   BOOST_REQUIRE(parts.size() >= 3U);
@@ -67,7 +67,7 @@
 
 // After the store has dropped its history, the removals derived from a new list
 // carry old revisions.
-BOOST_AUTO_TEST_CASE(old_removals_lead_to_no_older_revision) {
+BOOST_AUTO_TEST_CASE(old_removals_do_not_lower_the_revision) {
   RelayedChanges relayed = relayedOf(10);
   for (std::uint64_t n = 1; n <= 10; ++n)
     relayed.Changes.Changes.push_back(change(n, true));
--- a/Tests/LibObjectApi/TestResourceWatcher.cpp
+++ b/Tests/LibObjectApi/TestResourceWatcher.cpp
@@ -12,11 +12,11 @@
 namespace {
 
 /// A watcher of one kind with a fake store: a call stays open until the test
-/// completes it. Unless the fixture is `fresh`, a watcher that does not poll
-/// has already started a watch because no changes were relayed after its list.
+/// completes it. Unless `isFresh`, a watcher that does not poll has already
+/// started a watch because no changes were relayed after its list.
 struct WatcherFixture {
   explicit WatcherFixture(bool isPolling, ResourceWatcherSettings settings = {},
-                          bool fresh = false)
+                          bool isFresh = false)
       : IsPolling(isPolling) {
     ResourceStore store;
     store.List = [this](ResourceKind,
@@ -49,7 +49,7 @@
     StoreResult<ResourceListing> listing;
     listing.Got = ResourceListing{{{"a", "1", "", 5}}, 10};
     CompleteList(listing);
-    if (!fresh)
+    if (!isFresh)
       Watcher->tick(bootNow() + settings.WaitLimit * settings.MaxSilentWaits +
                     milliseconds(1));
   }
@@ -202,10 +202,10 @@
 // would each query it several times a second.
 BOOST_AUTO_TEST_CASE(
     a_host_that_does_not_poll_rarely_queries_an_unreachable_store) {
-  for (const bool probes : {true, false}) {
+  for (const bool isProber : {true, false}) {
     ResourceWatcherSettings settings;
     WatcherFixture fixture(false, settings);
-    fixture.IsProber = probes;
+    fixture.IsProber = isProber;
     fixture.IsUnreached = true;
     const Instant failedAt = bootNow();
     const Duration maxSilence = settings.WaitLimit * settings.MaxSilentWaits;
@@ -213,8 +213,8 @@
     fixture.Watcher->tick(failedAt + maxSilence - milliseconds(100));
     BOOST_TEST(fixture.Watches == 1);
     fixture.Watcher->tick(failedAt + maxSilence + milliseconds(100));
-    BOOST_TEST(fixture.Watches == (probes ? 2 : 1));
-    if (probes)
+    BOOST_TEST(fixture.Watches == (isProber ? 2 : 1));
+    if (isProber)
       continue;
     // Another watcher has reached the store again.
     fixture.IsUnreached = false;
@@ -240,7 +240,7 @@
 
 // The relaying host crashes. A replica that leaves would continue to get calls
 // for as long as this host waits.
-BOOST_AUTO_TEST_CASE(silence_of_the_reporter_leads_to_a_query) {
+BOOST_AUTO_TEST_CASE(silence_of_the_relaying_host_leads_to_a_query) {
   WatcherFixture fixture(false);
   fixture.Watcher->receive(WatcherFixture::relayed(10, 12, {}), bootNow());
   fixture.CompleteWatch({ResourceChanges{{}, 12}, StoreFailure::Unavailable});
@@ -278,9 +278,9 @@
 }
 
 // A host received relayed changes for a long time and then has to query the
-// store itself. It took the time in between for an outage of the store,
+// store itself. It treated the time in between as an outage of the store,
 // deferred removals, and continued to send calls to a replica that had left.
-BOOST_AUTO_TEST_CASE(receiving_relayed_changes_is_no_outage) {
+BOOST_AUTO_TEST_CASE(receiving_relayed_changes_is_not_an_outage) {
   ResourceWatcherSettings settings;
   settings.WaitLimit = milliseconds(200);
   settings.OutageAfter = milliseconds(300);
@@ -301,8 +301,8 @@
   BOOST_TEST(fixture.Seen.count("a") == 0);
 }
 
-// A replica's entry was removed and created again; a reporter that lags behind
-// relays the removal. The replica would get no more calls.
+// A replica's entry was removed and created again; a relaying host that lags
+// behind reports the removal. The replica would get no more calls.
 BOOST_AUTO_TEST_CASE(an_old_removal_reverts_nothing) {
   WatcherFixture fixture(false);
   fixture.Watcher->receive(
--- a/Tests/LibOperator/TestBundleRoll.cpp
+++ b/Tests/LibOperator/TestBundleRoll.cpp
@@ -41,7 +41,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(BundleRollTests, RollFixture)
 
-BOOST_AUTO_TEST_CASE(rolls_and_rolls_the_same_again) {
+BOOST_AUTO_TEST_CASE(rolling_the_current_bundle_again_succeeds) {
   BOOST_CHECK(!roll(7).WasCurrent);
   BOOST_CHECK_EQUAL(current(), 7);
   BOOST_CHECK(roll(7).WasCurrent);
@@ -72,7 +72,7 @@
 }
 
 // The object API stores the bundle but its reply is lost. If a failure were
-// reported, the operator would needlessly roll again under a new generation.
+// reported, the operator would needlessly roll it again with a new generation.
 BOOST_AUTO_TEST_CASE(lost_reply_is_resolved_by_reading_back) {
   CurrentObject.AfterWrite = loseReply;
   BOOST_CHECK_EQUAL(roll(7).Generation, 7);
@@ -103,19 +103,19 @@
   BOOST_CHECK(roll(7).WasCurrent);
 }
 
-BOOST_AUTO_TEST_CASE(outage_before_the_write_is_no_roll) {
+BOOST_AUTO_TEST_CASE(outage_before_the_write_leaves_no_bundle) {
   CurrentObject.BeforeWrite = failUnavailable;
   BOOST_CHECK_THROW(roll(7), ObjectApiUnavailable);
   BOOST_CHECK_EQUAL(current(), 0);
 }
 
-BOOST_AUTO_TEST_CASE(bytes_that_are_no_bundle_are_replaced) {
-  CurrentObject.Object = StoredObject{"scribble", 4};
+BOOST_AUTO_TEST_CASE(object_that_is_not_a_bundle_is_replaced) {
+  CurrentObject.Object = StoredObject{"not a bundle", 4};
   roll(7);
   BOOST_CHECK_EQUAL(current(), 7);
 }
 
-BOOST_AUTO_TEST_CASE(move_status_is_unchanged_by_its_codec) {
+BOOST_AUTO_TEST_CASE(rollout_status_is_unchanged_by_its_codec) {
   RolloutStatusObject status;
   status.Version = VersionId("floor-2");
   status.Service = ServiceId("floor");
@@ -126,8 +126,8 @@
   status.Reason = "31 of 200 calls failed on quote";
   const std::string text = encodeMoveStatus(status);
   BOOST_CHECK_EQUAL(encodeMoveStatus(decodeMoveStatus(text)), text);
-  BOOST_CHECK_THROW(decodeMoveStatus("{}"), MoveStatusMalformed);
-  BOOST_CHECK_THROW(decodeMoveStatus("x"), MoveStatusMalformed);
+  BOOST_CHECK_THROW(decodeMoveStatus("{}"), RolloutStatusMalformed);
+  BOOST_CHECK_THROW(decodeMoveStatus("x"), RolloutStatusMalformed);
 }
 
 // The tool reads the status right after a roll, before a daemon has written it.
@@ -137,11 +137,11 @@
   status.Version = VersionId("alarm-1");
   status.State = PublishedRolloutState::Done;
   status.Generation = 6;
-  BOOST_CHECK(!areMovesSettled(sampleBundle(7), {status}));
+  BOOST_CHECK(!areRolloutsSettled(sampleBundle(7), {status}));
   status.Generation = 7;
-  BOOST_CHECK(areMovesSettled(sampleBundle(7), {status}));
+  BOOST_CHECK(areRolloutsSettled(sampleBundle(7), {status}));
   status.State = PublishedRolloutState::Moving;
-  BOOST_CHECK(!areMovesSettled(sampleBundle(7), {status}));
+  BOOST_CHECK(!areRolloutsSettled(sampleBundle(7), {status}));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Tests/LibOperator/TestCallTimeline.cpp
+++ b/Tests/LibOperator/TestCallTimeline.cpp
@@ -34,7 +34,7 @@
 
 // A booking failed with status 502. From the logs of all hosts and the call's
 // id the operator must find out whether the host or the desk was the cause.
-BOOST_AUTO_TEST_CASE(the_cause_comes_first_with_what_else_failed_there) {
+BOOST_AUTO_TEST_CASE(cause_includes_other_failures_at_the_same_upstream) {
   const CallTimeline timeline = timelineOf("x1", TwoHosts);
   BOOST_REQUIRE(timeline.Causes.size() == 1U);
   const std::string &cause = timeline.Causes.front();
--- a/Tests/LibOperator/TestSignedBundle.cpp
+++ b/Tests/LibOperator/TestSignedBundle.cpp
@@ -101,7 +101,7 @@
 // Truncated, duplicated or unrelated bytes arrive where a signed bundle is
 // expected. A decoder that accepted a part of them would put an incomplete
 // bundle into force.
-BOOST_DATA_TEST_CASE(only_whole_encodings_are_decoded,
+BOOST_DATA_TEST_CASE(only_complete_encodings_are_decoded,
                      boost::unit_test::data::make(BytesRows), row) {
   std::string bytes =
       encodeSignedBundle(signBundle(sampleBundle(7), SigningKey::generate()));
@@ -116,7 +116,7 @@
   BOOST_CHECK_EQUAL(outcomeOf([&] { signBundle(bundle, key); }), "too large");
 }
 
-BOOST_AUTO_TEST_CASE(keys_are_rotated_with_two_accepted) {
+BOOST_AUTO_TEST_CASE(old_and_new_keys_are_accepted_during_rotation) {
   const SigningKey oldKey = SigningKey::generate();
   const SigningKey newKey = SigningKey::generate();
   const std::vector<PublicKey> accepted{oldKey.publicKey(), newKey.publicKey()};
@@ -126,7 +126,7 @@
               sampleBundle(8));
 }
 
-BOOST_AUTO_TEST_CASE(key_is_unchanged_by_its_file_and_not_overwritten) {
+BOOST_AUTO_TEST_CASE(saved_key_can_be_loaded_and_is_not_overwritten) {
   const ScratchFile file;
   const SigningKey key = SigningKey::generate();
   key.save(file.Path);
--- a/Tests/LibPeer/BundleSpread.cpp
+++ b/Tests/LibPeer/BundleSpread.cpp
@@ -82,7 +82,7 @@
   host.IsPaused = false;
   std::deque<std::function<void()>> deferredEvents;
   deferredEvents.swap(host.DeferredEvents);
-  // The messages in the sockets and the response of the object API may be
+  // The messages in the sockets and the reply of the object API may be
   // processed in either order.
   if (chance(500))
     Net.resume(name);
@@ -91,7 +91,7 @@
   Net.resume(name);
 }
 
-/// One poll of the object API by a daemon. The response is the object as of the
+/// One poll of the object API by a daemon. The reply is the object as of the
 /// request; a paused daemon may process it much later.
 void BundleSpread::watch(const std::string &name) {
   Host &host = Hosts[name];
@@ -100,17 +100,18 @@
     return;
   if (!host.IsPaused && !IsOutage && Object &&
       Object->Version != host.KnownVersion) {
-    const StoredObject answer = *Object;
-    const auto take = [this, name, processNumber, answer] {
+    const StoredObject storedObject = *Object;
+    const auto applyReply = [this, name, processNumber, storedObject] {
       if (Hosts[name].ProcessNumber == processNumber)
-        applyStoredBundle(name, answer);
+        applyStoredBundle(name, storedObject);
     };
-    Net.schedule(milliseconds(1 + Net.random()() % 300), [this, name, take] {
-      if (Hosts[name].IsPaused)
-        Hosts[name].DeferredEvents.push_back(take);
-      else
-        take();
-    });
+    Net.schedule(milliseconds(1 + Net.random()() % 300),
+                 [this, name, applyReply] {
+                   if (Hosts[name].IsPaused)
+                     Hosts[name].DeferredEvents.push_back(applyReply);
+                   else
+                     applyReply();
+                 });
   }
   Net.schedule(WatchInterval, [this, name, processNumber] {
     if (Hosts[name].ProcessNumber == processNumber)
@@ -331,7 +332,7 @@
     Net.cut(randomHost(), randomHost());
   }
   if (chance(20))
-    Net.mend();
+    Net.clearCuts();
   if (chance(10))
     Net.silence(randomHost(), randomHost());
   if (chance(30))
@@ -346,9 +347,9 @@
     step();
 }
 
-void BundleSpread::healAndCheck(bool isOutage) {
+void BundleSpread::endFaultsAndCheck(bool isOutage) {
   HasFaults = false;
-  Net.mend();
+  Net.clearCuts();
   for (auto &[name, host] : Hosts) {
     if (!host.IsUp)
       start(name);
--- a/Tests/LibPeer/BundleSpread.h
+++ b/Tests/LibPeer/BundleSpread.h
@@ -11,8 +11,10 @@
 
 namespace sorrelbay {
 
-/// The mechanism that a run leaves out, to show that the checks detect it.
+/// The mechanism that is disabled in a run, to show that the checks detect its
+/// absence.
 enum class SpreadVariant {
+  /// No mechanism is disabled.
   Sound,
   /// A daemon adopts every bundle that it receives, even an older one.
   LastSeenWins,
@@ -55,7 +57,7 @@
   /// Ends all faults and rolls a new bundle. If `isOutage`, the object API then
   /// fails once one daemon has received it. Checks that all daemons have the
   /// bundle within seconds.
-  void healAndCheck(bool isOutage);
+  void endFaultsAndCheck(bool isOutage);
   /// Restarts all daemons except one during an outage of the object API and
   /// checks that they get the bundle from their peers.
   void restartInOutageAndCheck();
--- a/Tests/LibPeer/FakeNetwork.h
+++ b/Tests/LibPeer/FakeNetwork.h
@@ -38,7 +38,7 @@
   /// Drops all messages between the two hosts, in both directions, and leaves
   /// new connections without a response.
   void cut(const std::string &a, const std::string &b) { Cuts.insert({a, b}); }
-  void mend() { Cuts.clear(); }
+  void clearCuts() { Cuts.clear(); }
   /// Drops all further messages on the open connections between the two hosts.
   /// New connections work.
   void silence(const std::string &a, const std::string &b);
--- a/Tests/LibPeer/TestBundleSpread.cpp
+++ b/Tests/LibPeer/TestBundleSpread.cpp
@@ -24,7 +24,7 @@
 SpreadCounts runSpread(std::uint64_t seed, SpreadVariant variant) {
   BundleSpread spread(seed, variant);
   spread.runFaults(FaultSteps);
-  spread.healAndCheck(seed % 2 == 0);
+  spread.endFaultsAndCheck(seed % 2 == 0);
   spread.restartInOutageAndCheck();
   return spread.counts();
 }
@@ -68,7 +68,7 @@
 
 // A daemon reverts to an older bundle and sends calls to a version that has
 // been removed. Random causes: outages, starts during them, pauses that delay
-// responses, concurrent operators, lost replies, and old or forged bundles from
+// replies, concurrent operators, lost replies, and old or forged bundles from
 // peers.
 BOOST_AUTO_TEST_CASE(randomised_spread_never_reverts) {
   SpreadCounts sum;
--- a/Tests/LibPeer/TestMeshState.cpp
+++ b/Tests/LibPeer/TestMeshState.cpp
@@ -93,8 +93,8 @@
     net.start("a", "z", {"a secret of the mesh", {"b:1"}, {}});
     net.start("b", "z", {"a secret of the mesh", {"a:1"}, {}});
     net.run(seconds(1));
-    // Both attempts time out, so both are repeated at the same time.
-    net.mend();
+    // Both attempts time out, so both are retried at the same time.
+    net.clearCuts();
     net.run(Settled);
     BOOST_CHECK_EQUAL(net.mesh("a").linkedHosts().size(), 1);
     BOOST_CHECK_EQUAL(net.mesh("b").linkedHosts().size(), 1);
@@ -106,7 +106,7 @@
 // updates or to inject bundles.
 BOOST_AUTO_TEST_CASE(wrong_secret_is_rejected) {
   start("a");
-  start("b", {"another secret of no mesh", {}, {}});
+  start("b", {"the secret of another mesh", {}, {}});
   Net.mesh("b").publish(bundleOf(9), Net.at());
   Net.run(Settled);
   BOOST_CHECK(!isLinked("a", "b"));
@@ -116,22 +116,22 @@
 
 // A peer sends a message before it has authenticated, or an incomplete hello or
 // proof.
-BOOST_DATA_TEST_CASE(message_before_proof_ends_the_connection,
+BOOST_DATA_TEST_CASE(message_before_proof_closes_the_connection,
                      boost::unit_test::data::make(EarlyMessageRows), row) {
-  std::vector<ConnectionId> ended;
+  std::vector<ConnectionId> closedConnections;
   std::vector<PeerMessage> sent;
   MeshTransport transport;
   transport.Send = [&](ConnectionId, const std::string &bytes) {
     sent.push_back(decodePeerMessage(bytes));
   };
-  transport.Close = [&](ConnectionId it) { ended.push_back(it); };
+  transport.Close = [&](ConnectionId it) { closedConnections.push_back(it); };
   MeshSettings settings;
   settings.Self = HostId("a");
   settings.Secrets = {"a secret of the mesh"};
   MeshState mesh(settings, transport, {}, Instant(hours(1)));
   mesh.accepted(5, Instant(hours(1)));
   mesh.received(5, encodePeerMessage(row.Message), Instant(hours(1)));
-  BOOST_CHECK(ended == std::vector<ConnectionId>{5});
+  BOOST_CHECK(closedConnections == std::vector<ConnectionId>{5});
   BOOST_CHECK_EQUAL(sent.size(), 1);
   BOOST_CHECK_EQUAL(mesh.counts().HandshakeFailures, 1);
 }
@@ -172,8 +172,8 @@
   int freshCount = 0;
   int staleCount = 0;
   FakeNetwork::NodeOptions options;
-  options.Hooks.OnFresh = [&](const HostId &, Instant askedAt) {
-    ++(askedAt < resumedAt ? staleCount : freshCount);
+  options.Hooks.OnFresh = [&](const HostId &, Instant sentAt) {
+    ++(sentAt < resumedAt ? staleCount : freshCount);
   };
   start("a");
   start("b", std::move(options));
@@ -192,7 +192,7 @@
   BOOST_CHECK_GT(freshCount, 0);
 }
 
-BOOST_AUTO_TEST_CASE(requests_are_answered_and_failures_have_kinds) {
+BOOST_AUTO_TEST_CASE(requests_get_replies_and_failures_have_outcomes) {
   FakeNetwork::NodeOptions options;
   options.Hooks.OnRequest = [](const HostId &, const PeerRequest &request,
                                const PeerRespond &respond) {
@@ -245,7 +245,7 @@
   Net.mesh("a").publish(bundleOf(5), Net.at());
   Net.run(Settled);
   PeerKnowledge forged;
-  forged.Bundle = {8, "scribble"};
+  forged.Bundle = {8, "unsigned 8"};
   Net.inject("a", "b", PeerUpdate{bundleOf(4)});
   Net.inject("a", "b", PeerUpdate{forged});
   Net.run(seconds(1));
@@ -282,9 +282,9 @@
     BOOST_CHECK_EQUAL(it.IsLiving, it.Host != HostId("b"));
 }
 
-// A version turns out bad while the object API is down. Each daemon sees only
-// its own calls; without its peers' evidence and veto it would keep sending
-// calls to that version.
+// A version is found bad while the object API is down. Each daemon has evidence
+// of its own calls only; without its peers' evidence and veto it would keep
+// sending calls to that version.
 BOOST_AUTO_TEST_CASE(veto_and_evidence_spread_between_daemons) {
   startThree();
   const EvidenceKey key{VersionId("v2"), RouteId("quote")};
@@ -335,7 +335,7 @@
 
 // A peer sends malformed bytes, or a hello on a connection that is already
 // live. Only that connection may be closed.
-BOOST_AUTO_TEST_CASE(broken_bytes_end_only_their_connection) {
+BOOST_AUTO_TEST_CASE(malformed_bytes_close_only_their_connection) {
   startThree();
   const auto decode = [](const std::string &it) { decodePeerMessage(it); };
   for (const char *it : {"", "{}", "\xa0", "\xff\xff"})
--- a/Tests/LibPeer/TestPeerMesh.cpp
+++ b/Tests/LibPeer/TestPeerMesh.cpp
@@ -111,7 +111,7 @@
 // connects.
 BOOST_AUTO_TEST_CASE(wrong_secret_is_counted_and_rejected) {
   MeshSettings settings = settingsOf("c", {A.address()});
-  settings.Secrets = {"no secret of these peers"};
+  settings.Secrets = {"the secret of other peers"};
   PeerMesh c(settings, quietHooks());
   c.start();
   BOOST_CHECK(becomesTrue([this] { return A.counts().HandshakeFailures > 0; }));
--- a/Utilities/sorrelbay/StatusCommand.cpp
+++ b/Utilities/sorrelbay/StatusCommand.cpp
@@ -21,7 +21,7 @@
 };
 
 bool hasRolledBack(const StatusReport &report) {
-  return std::any_of(report.Moves.begin(), report.Moves.end(),
+  return std::any_of(report.Rollouts.begin(), report.Rollouts.end(),
                      [&report](const RolloutStatusObject &it) {
                        return it.State == PublishedRolloutState::TakenBack &&
                               it.Generation ==
@@ -31,7 +31,7 @@
 
 bool isSettled(const StatusReport &report) {
   return report.Current &&
-         areMovesSettled(report.Current->Content, report.Moves);
+         areRolloutsSettled(report.Current->Content, report.Rollouts);
 }
 
 std::string render(const StatusReport &report, const StatusOptions &options) {
--- a/Utilities/sorrelbay/StatusReport.cpp
+++ b/Utilities/sorrelbay/StatusReport.cpp
@@ -83,12 +83,12 @@
 
 std::string renderTable(const StatusReport &report, bool isColoured) {
   std::string out = bundleLine(report.Current);
-  if (report.Moves.empty())
+  if (report.Rollouts.empty())
     return out + "no rollouts\n";
   out += formatLine("%-20s %-16s %10s %-10s %5s %7s %-20s %10s %-20s %s\n",
                     "VERSION", "SERVICE", "GENERATION", "STATE", "STAGE",
                     "SHARE", "DEADLINE", "COST", "SINCE", "REASON");
-  for (const RolloutStatusObject &it : report.Moves) {
+  for (const RolloutStatusObject &it : report.Rollouts) {
     out += rolloutLine(it, isColoured);
     for (const RouteEvidence &evidence : it.Evidence)
       out += evidenceLine(evidence);
@@ -103,7 +103,7 @@
     out["bundle"] = {{"generation", report.Current->Content.Generation},
                      {"key", report.Current->SignedBy.text()}};
   out["moves"] = ordered_json::array();
-  for (const RolloutStatusObject &it : report.Moves)
+  for (const RolloutStatusObject &it : report.Rollouts)
     out["moves"].push_back(ordered_json::parse(encodeMoveStatus(it)));
   return out.dump(-1, ' ', false, ordered_json::error_handler_t::replace) +
          "\n";
--- a/Utilities/sorrelbay/StatusReport.h
+++ b/Utilities/sorrelbay/StatusReport.h
@@ -11,11 +11,11 @@
 /// The content of `sorrelbay status`.
 struct StatusReport {
   std::optional<CurrentBundle> Current;
-  std::vector<RolloutStatusObject> Moves;
+  std::vector<RolloutStatusObject> Rollouts;
 };
 
 /// Reads the report from the object API. Throws ObjectApiUnavailable or
-/// MoveStatusMalformed.
+/// RolloutStatusMalformed.
 StatusReport readStatusReport(const ObjectApi &api);
 
 /// Renders a table with a line for each rollout, followed by a line of evidence
--- a/Utilities/sorrelbay/WholeFile.cpp
+++ b/Utilities/sorrelbay/WholeFile.cpp
@@ -15,7 +15,7 @@
     throw FileUnusable(path + ": can't be read");
   bytes.resize(static_cast<std::size_t>(in.gcount()));
   if (bytes.size() > MaxFileBytes)
-    throw FileUnusable(path + ": is larger than the maximum size");
+    throw FileUnusable(path + ": is larger than 4 MiB");
   return bytes;
 }
 
