--- a/Libraries/LibBase/Invariant.h
+++ b/Libraries/LibBase/Invariant.h
@@ -18,8 +18,8 @@
     std::function<void(const std::string &, const std::string &)>;
 
 /// Replaces the handler and returns the previous one. The default handler logs
-/// and aborts: a response that violates an invariant is worse than the loss of
-/// a process.
+/// and aborts, because a response that violates an invariant does more harm
+/// than the loss of a process.
 InvariantHandler setInvariantHandler(InvariantHandler handler);
 
 /// Checks an invariant, in every build type.
--- a/Libraries/LibBase/LogRateLimiter.h
+++ b/Libraries/LibBase/LogRateLimiter.h
@@ -12,7 +12,8 @@
   explicit LogRateLimiter(double linesPerSecond)
       : Rate(linesPerSecond), AvailableLines(linesPerSecond) {}
 
-  /// Takes one line from the budget; returns false if none is left.
+  /// Consumes one token of the bucket; returns false if none is left, in which
+  /// case the line must not be logged.
   bool take(Instant now);
   /// The number of lines suppressed since the previous call.
   std::int64_t takeSuppressedCount();
--- a/Libraries/LibCaller/CallContext.cpp
+++ b/Libraries/LibCaller/CallContext.cpp
@@ -67,9 +67,9 @@
   context.OnRoute = RouteId(boundedHeader(request, "X-Route"));
   context.Key = IdempotencyKey(boundedHeader(request, "Idempotency-Key"));
   context.Attempt = numberHeader(request, "X-Attempt", 0, MaxAttempt);
-  const std::uint64_t wait =
+  const std::uint64_t deadlineMs =
       numberHeader(request, "X-Deadline-Ms", DefaultDeadlineMs, MaxDeadlineMs);
-  context.Deadline = arrival + milliseconds(wait);
+  context.Deadline = arrival + milliseconds(deadlineMs);
   context.Trace = parseTraceParent(headerValue(request.Headers, "traceparent"));
   return context;
 }
--- a/Libraries/LibCaller/Problem.h
+++ b/Libraries/LibCaller/Problem.h
@@ -9,7 +9,8 @@
 
 namespace sorrelbay {
 
-/// Whether a call ran for which the response of an upstream is not available.
+/// Whether a call has run, as stated in a problem document and in the response
+/// to a query of the call.
 enum class Outcome {
   /// The call has not run and will not run.
   NotRun,
@@ -40,7 +41,7 @@
   const std::vector<std::string> &alternatives() const {
     return OtherAddresses;
   }
-  /// A copy of the problem with these addresses.
+  /// A copy of the problem with these alternative addresses.
   Problem withAlternatives(std::vector<std::string> addresses) const;
 
 private:
--- a/Libraries/LibCaller/RefusalOutcome.h
+++ b/Libraries/LibCaller/RefusalOutcome.h
@@ -4,11 +4,11 @@
 
 namespace sorrelbay {
 
-/// The outcome that a refusal states without a lookup in the ledger. Another
-/// attempt with the same key may have run or be in flight at another host, so
-/// the outcome is "not run" only for a declared first attempt and for a call
-/// without a key or with a key that every daemon refuses as too long; never in
-/// a response to a query.
+/// The outcome stated by a refusal that is made without a lookup in the ledger.
+/// It is "not run" only for a declared first attempt, for a call without a key,
+/// and for a key that every daemon refuses as too long. For all other calls and
+/// for queries it is "unknown", because another attempt with the same key may
+/// have run or be in flight at another host.
 Outcome refusalOutcome(const HttpRequest &request);
 
 } // namespace sorrelbay
--- a/Libraries/LibCloud/CloudNotices.h
+++ b/Libraries/LibCloud/CloudNotices.h
@@ -23,8 +23,8 @@
   Instant ReclaimAt{};
 };
 
-/// Fetches the notices with a sequence number above the known one; if there is
-/// none yet, waits for one up to waitLimit. Throws CloudUnavailable.
+/// Fetches the notices with a sequence number greater than `known`. If there is
+/// none yet, waits up to waitLimit for one. Throws CloudUnavailable.
 std::vector<ReclaimNotice> fetchReclaimNotices(const std::string &platform,
                                                std::uint64_t known,
                                                Duration waitLimit);
--- a/Libraries/LibEngine/EngineClient.h
+++ b/Libraries/LibEngine/EngineClient.h
@@ -38,11 +38,11 @@
 /// An attempt at a request.
 struct EngineRequest {
   std::string RequestId;
-  /// Unique to each attempt; every token contains it.
+  /// Unique to each attempt; every token event contains it.
   std::string AttemptId;
   ServiceId Model;
-  /// The route of the call; engines count requests by route, and test
-  /// installations may behave differently by route.
+  /// The route of the call; engines count requests by route, and a fake engine
+  /// can limit its faults to one route.
   RouteId OnRoute;
   /// The messages as the caller sent them, a JSON array.
   std::string MessagesJson;
@@ -59,22 +59,23 @@
   Duration Silence = seconds(5);
 };
 
-/// A token and its offset in the whole answer.
+/// A token and its offset in the response, counted in tokens and including the
+/// prefix.
 struct EngineToken {
   std::string AttemptId;
   std::uint64_t Offset = 0;
   std::string Text;
 };
 
-/// The end of a complete attempt, with the stated length of the answer in
-/// tokens.
+/// The end of a complete attempt, with the length of the response in tokens as
+/// stated by the engine.
 struct EngineEnd {
   std::string AttemptId;
   std::uint64_t Length = 0;
   std::string FinishReason;
 };
 
-/// The load report of an engine; it lags behind the actual load.
+/// The load report of an engine. It lags behind the actual load.
 struct EngineLoad {
   VersionId Version;
   std::uint64_t OpenStreams = 0;
@@ -108,13 +109,13 @@
 /// Fetches the load report of the engine. Throws EngineFailed.
 EngineLoad fetchEngineLoad(const UpstreamId &upstream, Duration timeout);
 
-/// Requests that the engine stop working on a request. Waits for the response
-/// up to the timeout and ignores a failure.
+/// Cancels a request at the engine. Waits for the response up to the timeout
+/// and ignores a failure.
 void cancelEngineRequest(const UpstreamId &upstream,
                          const std::string &requestId, Duration timeout);
 
-/// Requests that the engine prepare the KV cache of a request for import by
-/// another engine. Returns the handle for the import. Throws EngineFailed.
+/// Makes the engine export the KV cache of a request. Returns the handle with
+/// which another engine imports it. Throws EngineFailed.
 std::string exportCache(const UpstreamId &upstream,
                         const std::string &requestId, Duration timeout);
 
--- a/Libraries/LibHostList/HostList.h
+++ b/Libraries/LibHostList/HostList.h
@@ -37,9 +37,9 @@
 std::vector<HostListEntry> fetchHostList(const std::string &platform,
                                          Duration timeout);
 
-/// Parses the JSON of the list. Malformed entries are skipped, because one of
-/// them must not hide all hosts. Throws HostListUnavailable if the text is not
-/// a list.
+/// Parses the JSON array of the list. Malformed entries are logged and skipped,
+/// so that one of them does not make the whole list unusable. Throws
+/// HostListUnavailable if the text is not a JSON array.
 std::vector<HostListEntry> parseHostList(const std::string &json);
 
 } // namespace sorrelbay
--- a/Libraries/LibHttp/BeastCommon.h
+++ b/Libraries/LibHttp/BeastCommon.h
@@ -16,9 +16,10 @@
 /// Parses "ip:port". Throws std::exception if it is malformed.
 Tcp::endpoint endpointOf(const std::string &address);
 
-/// Disables the delay of small writes, and bounds the time to detect a silent
-/// peer: unacknowledged bytes and unanswered keep-alive probes close the
-/// connection after two seconds, instead of minutes by default.
+/// Disables Nagle's algorithm, which delays small writes, and bounds the time
+/// to detect a silent peer: unacknowledged bytes and unanswered keep-alive
+/// probes close the connection after two seconds, instead of minutes by
+/// default.
 void configureSocket(Tcp::socket &socket);
 
 /// Copies all header fields of a received message.
--- a/Libraries/LibHttp/HttpMessage.h
+++ b/Libraries/LibHttp/HttpMessage.h
@@ -72,12 +72,12 @@
   HttpHeaders Headers;
   HttpHeaders Query;
   std::string Body;
-  /// The matches of the groups in the regular expression of the route.
+  /// The text matched by each group of the route's regular expression.
   std::vector<std::string> Parts;
 };
 
-/// Takes the next bytes of a streamed response; returns false once the client
-/// has disconnected.
+/// Receives the next bytes of a streamed response; returns false once the
+/// client has disconnected.
 using HttpSink = std::function<bool(std::string_view)>;
 
 /// A response as a server sends it: a whole body, or a stream.
--- a/Libraries/LibHttp/HttpServer.h
+++ b/Libraries/LibHttp/HttpServer.h
@@ -9,8 +9,8 @@
 
 /// Limits of a server, against slow, silent or oversized requests.
 struct HttpServerLimits {
-  /// Connections served at once; each takes a thread while it is open. Further
-  /// connections are queued.
+  /// Connections served at once; each occupies a thread while it is open.
+  /// Further connections are queued.
   std::size_t Workers = 700;
   /// Requests with a larger body are refused with status 413.
   std::size_t MaxBodyBytes = 4UL * 1024 * 1024;
@@ -29,8 +29,8 @@
 public:
   using Handler = std::function<HttpResponse(const HttpRequest &)>;
   /// Makes the response to a request that no handler responded to: unknown
-  /// path, body too large, or a handler that failed. Takes the status and the
-  /// parts of the request that were read.
+  /// path, body too large, or a handler that failed. Called with the status and
+  /// the parts of the request that were read.
   using ErrorResponder = std::function<HttpResponse(int, const HttpRequest &)>;
 
   explicit HttpServer(const HttpServerLimits &limits = HttpServerLimits());
--- a/Tests/Fakes/fault-proxy-main.cpp
+++ b/Tests/Fakes/fault-proxy-main.cpp
@@ -33,8 +33,8 @@
 struct State {
   std::atomic<Mode> Current{Mode::Pass};
   std::atomic<int> DelayMs{0};
-  /// Incremented by each freeze. A connection opened before a freeze stays
-  /// frozen for good, like one whose state a middlebox has dropped.
+  /// Incremented by each freeze. A connection opened before a freeze never
+  /// forwards again, like one whose state a middlebox has dropped.
   std::atomic<int> FreezeCount{0};
 };
 
@@ -74,8 +74,8 @@
   return true;
 }
 
-/// Forwards bytes between the two ends until one closes or the mode requires
-/// the connection to be closed.
+/// Forwards bytes between client and target until one of them closes its
+/// connection or the mode requires both to be closed.
 void forwardBytes(State &state, int client, int target) {
   const int freezeCountAtStart = state.FreezeCount;
   pollfd ends[2] = {{client, POLLIN, 0}, {target, POLLIN, 0}};
--- a/Tests/Integration/TestAtMostOnce.cpp
+++ b/Tests/Integration/TestAtMostOnce.cpp
@@ -316,7 +316,7 @@
 }
 
 // The daemon that issued the ticket is killed, and later a new one has its
-// address. Only the old one knew whether the call ran.
+// address. Only the old one had a record of whether the call ran.
 BOOST_AUTO_TEST_CASE(tickets_of_a_killed_daemon_are_unknown) {
   BookingSite site;
   const std::string used = site.requestTicket(0);
--- a/Tests/Integration/TestBadVersions.cpp
+++ b/Tests/Integration/TestBadVersions.cpp
@@ -158,9 +158,9 @@
 
 BOOST_AUTO_TEST_SUITE(BadVersions)
 
-// A new version is bad in one of several ways. Without the canary judge every
-// caller would reach it; with it a few do, and after the rollback none at any
-// daemon.
+// A new version is bad in one of several ways. Without the canary judge it
+// would receive all calls. With the judge it may receive only a few, and after
+// the rollback no daemon may send it any.
 BOOST_DATA_TEST_CASE(a_bad_version_is_rolled_back_everywhere,
                      boost::unit_test::data::make(BadRows), row) {
   TwoVersions two;
--- a/Tests/Integration/TestBundles.cpp
+++ b/Tests/Integration/TestBundles.cpp
@@ -13,7 +13,7 @@
 constexpr Duration Timeout = seconds(5);
 constexpr std::size_t OperatorsAtOnce = 6;
 
-SignedBundle foreignBundle(int generation, const SigningKey &key) {
+SignedBundle bundleSignedWith(int generation, const SigningKey &key) {
   return signBundle(
       parseBundle(standardBundle(generation, SingleVersionToml), "b"), key);
 }
@@ -87,16 +87,17 @@
 }
 
 // A client with write access to the object API stores a bundle that no accepted
-// key has signed, and then bytes that are not a bundle.
-BOOST_AUTO_TEST_CASE(bundle_with_a_foreign_key_is_never_in_force) {
+// key has signed, and then bytes that are not a bundle. The daemon must keep
+// the current bundle and still load the next valid one.
+BOOST_AUTO_TEST_CASE(bundle_signed_with_an_unaccepted_key_is_never_loaded) {
   Deployment deployment;
   deployment.addDaemon("zone-a");
   deployment.roll(standardBundle(1, SingleVersionToml));
   deployment.waitReady(1);
   const ObjectApi api = connectObjectApi(deployment.platform(), Timeout);
-  rollBundle(api, foreignBundle(50, SigningKey::generate()));
+  rollBundle(api, bundleSignedWith(50, SigningKey::generate()));
   const TestDaemon &daemon = *deployment.Daemons[0];
-  waitUntil("rejection of the bundle with a foreign key",
+  waitUntil("rejection of the bundle with an unaccepted key",
             [&] { return daemon.Process->hasLogged("is not accepted here"); });
   const auto stored = api.Read(CurrentBundleObject);
   api.Write(CurrentBundleObject, "not a bundle", stored->Version);
@@ -108,7 +109,8 @@
   deployment.waitReady(2);
 }
 
-// The object API stores the bundle, and its reply is lost.
+// The object API stores the bundle, and its reply is lost. The operator's tool
+// must not report the roll as failed.
 BOOST_AUTO_TEST_CASE(roll_with_a_lost_reply_is_resolved) {
   Deployment deployment;
   TestProxy &proxy = deployment.addProxy(deployment.platform());
@@ -125,14 +127,14 @@
       throw;
     }
   };
-  const SignedBundle bundle = foreignBundle(1, SigningKey::generate());
+  const SignedBundle bundle = bundleSignedWith(1, SigningKey::generate());
   BOOST_TEST(rollBundle(api, bundle).Generation == 1);
   BOOST_TEST(lost == 1);
   BOOST_TEST(rollBundle(api, bundle).WasCurrent);
 }
 
 // Several operators concurrently roll different bundles with the same
-// generation.
+// generation. Only one roll may succeed, and the others must be refused.
 BOOST_AUTO_TEST_CASE(
     of_concurrent_operators_one_wins_and_the_rest_get_its_key_id) {
   Deployment deployment;
@@ -148,7 +150,7 @@
   for (const SigningKey &key : keys)
     operators.emplace_back([&] {
       const ObjectApi api = connectObjectApi(deployment.platform(), Timeout);
-      const SignedBundle bundle = foreignBundle(1, key);
+      const SignedBundle bundle = bundleSignedWith(1, key);
       try {
         rollBundle(api, bundle);
         const std::lock_guard<std::mutex> lock(mutex);
--- a/Tests/Integration/TestLeavingUpstream.cpp
+++ b/Tests/Integration/TestLeavingUpstream.cpp
@@ -124,7 +124,8 @@
 }
 
 // One daemon's connection to the platform is cut, so that it receives neither
-// the host list nor the notice; only its peer knows that the engine is leaving.
+// the host list nor the notice; only its peer receives a report that the engine
+// is leaving.
 BOOST_AUTO_TEST_CASE(gets_no_new_calls_once_a_peer_reports) {
   TwoEngines run;
   const TestProxy &platformProxy = run.Deploy.addProxy(run.Deploy.platform());
--- a/Tests/Integration/TestReclaim.cpp
+++ b/Tests/Integration/TestReclaim.cpp
@@ -91,9 +91,10 @@
   bool ExpectsCacheImport;
 };
 
-/// The engines reclaimed, of four with two in zone-a. A response takes 3 s, but
-/// the daemon assumes 30 tokens per second, so only the longest notice lets the
-/// response finish in place.
+/// The number of engines reclaimed in zone-a and the length of the notice; of
+/// the four engines, two are in zone-a. A response takes 3 s, but the daemon
+/// assumes 30 tokens per second, so only with the longest notice do responses
+/// finish on the reclaimed engine.
 const ReclaimRow ReclaimRows[] = {
     {"one engine, 2 s", 1, 2, true},
     {"one engine, 30 s", 1, 30, false},
@@ -263,7 +264,7 @@
   BOOST_TEST((sum(zones.Cluster, "imported") > 0) == row.ExpectsCacheImport);
 }
 
-// While streams move out of a zone, the engine that took most of them is
+// While streams move out of a zone, the engine that received most of them is
 // reclaimed too.
 BOOST_AUTO_TEST_CASE(
     a_second_reclaim_during_recovery_leaves_every_text_complete) {
@@ -279,8 +280,8 @@
   chats.checkAllComplete();
 }
 
-// Hosts end without a notice. Their streams resume on other engines from the
-// prefix of tokens already sent.
+// Hosts are lost without a notice. Their streams must resume on other engines
+// after the tokens that the callers already received.
 BOOST_AUTO_TEST_CASE(an_end_without_notice_leaves_every_text_complete) {
   ThreeZoneCluster zones;
   LongChats chats(zones.Cluster, 12);
@@ -321,8 +322,8 @@
 }
 
 // The caller's connection breaks during a response. It reconnects with the id
-// of the last event received and must get the rest without gaps, duplicates or
-// a second generation.
+// of the last event received and must receive the rest without gaps, duplicates
+// or a second generation.
 BOOST_DATA_TEST_CASE(a_caller_that_reconnects_misses_and_repeats_nothing,
                      boost::unit_test::data::make({1, 20, 60}),
                      receivedEvents) {
--- a/Utilities/sorrelbay-bench/Admission.cpp
+++ b/Utilities/sorrelbay-bench/Admission.cpp
@@ -379,7 +379,7 @@
   const Policy policies[] = {
       {"one FIFO queue",
        [](const Deployment &it) { return fifoQueue(it, false); }},
-      {"FIFO, gone ones dropped",
+      {"FIFO, drops cancelled",
        [](const Deployment &it) { return fifoQueue(it, true); }},
       {"sorrelbay", admissionQueue}};
   std::vector<Figure> figures;
@@ -394,8 +394,8 @@
 
 Experiment admissionExperiment() {
   return {"admission",
-          "twice the capacity: who is answered, and who is told "
-          "to come back",
+          "admission and refusals by team at twice the capacity of the "
+          "engines",
           run};
 }
 
--- a/Utilities/sorrelbay-bench/Canary.cpp
+++ b/Utilities/sorrelbay-bench/Canary.cpp
@@ -204,7 +204,8 @@
 } // namespace
 
 Experiment canaryExperiment() {
-  return {"canary", "calls that reach a bad version, good versions in time",
+  return {"canary",
+          "calls sent to bad versions, and good versions rolled out in time",
           runCanary};
 }
 
--- a/Utilities/sorrelbay-bench/CanaryModel.cpp
+++ b/Utilities/sorrelbay-bench/CanaryModel.cpp
@@ -313,8 +313,8 @@
         gossip(n, to, gossipReport);
   }
 
-  /// The report that the daemon sends to its peers: its own part of the
-  /// knowledge, and at every tenth tick all of it.
+  /// The report that the daemon sends to its peers: its own part of its rollout
+  /// state, and at every tenth tick the whole state.
   std::shared_ptr<const RolloutKnowledge> currentReport(Daemon &daemon) const {
     if (daemon.LastReport != nullptr)
       return daemon.LastReport;
@@ -330,16 +330,16 @@
 
   void gossip(std::size_t from, std::size_t to,
               const std::shared_ptr<const RolloutKnowledge> &gossipReport) {
-    const Instant askedAt = Now;
+    const Instant sentAt = Now;
     const unsigned incarnationNumber = Daemons[from].IncarnationNumber;
     sendMessage(to, Daemons[to].IncarnationNumber,
-                [this, from, to, gossipReport, askedAt, incarnationNumber] {
+                [this, from, to, gossipReport, sentAt, incarnationNumber] {
                   receive(to, *gossipReport);
                   const auto replyReport = currentReport(Daemons[to]);
                   sendMessage(from, incarnationNumber,
-                              [this, from, to, replyReport, askedAt] {
+                              [this, from, to, replyReport, sentAt] {
                                 Daemons[from].Freshness.answered(
-                                    Daemons[to].Self.Host, askedAt);
+                                    Daemons[to].Self.Host, sentAt);
                                 receive(from, *replyReport);
                               });
                 });
--- a/Utilities/sorrelbay-bench/CanaryModel.h
+++ b/Utilities/sorrelbay-bench/CanaryModel.h
@@ -104,7 +104,8 @@
   Duration LastAfterEvidence{};
   /// From the first veto to the last call that was sent to the version.
   Duration LastAfterVeto{};
-  /// Calls that a daemon sent to the version although it knew of a veto.
+  /// Calls that a daemon sent to the version after it had recorded or received
+  /// a veto.
   std::uint64_t SentAgainstVeto = 0;
 };
 
--- a/Utilities/sorrelbay-bench/Capacity.cpp
+++ b/Utilities/sorrelbay-bench/Capacity.cpp
@@ -222,7 +222,7 @@
 
 Experiment capacityExperiment() {
   return {"capacity",
-          "time and memory of each role on several sizes, for docs/CAPACITY.md",
+          "time and memory of each role at several sizes, for docs/CAPACITY.md",
           run};
 }
 
--- a/Utilities/sorrelbay-bench/HostPlanner.cpp
+++ b/Utilities/sorrelbay-bench/HostPlanner.cpp
@@ -348,7 +348,7 @@
 } // namespace
 
 Experiment hostPlannerExperiment() {
-  return {"mover", "two days of hosts: what they cost, and what they carry",
+  return {"mover", "cost and served demand of the planned hosts over two days",
           run};
 }
 
--- a/Utilities/sorrelbay-bench/Overload.cpp
+++ b/Utilities/sorrelbay-bench/Overload.cpp
@@ -17,10 +17,10 @@
   std::function<void(EngineFleetPlan &)> Apply;
 };
 
-EngineFleetPlan planOf(const EngineProfile &make, int hosts, int engines,
+EngineFleetPlan planOf(const EngineProfile &profile, int hosts, int engines,
                        double perSecond) {
   EngineFleetPlan plan;
-  plan.Make = make;
+  plan.Make = profile;
   plan.Hosts = hosts;
   plan.EnginesPerZone = engines;
   plan.Kinds = mixedPrompts(perSecond);
@@ -45,18 +45,18 @@
 std::vector<Policy> policies() {
   return {
       {"sorrelbay", [](EngineFleetPlan &) {}},
-      {"nothing turned away",
+      {"admits all calls",
        [](EngineFleetPlan &plan) { plan.QueueWaitShare = 0; }},
-      {"no engine time in plan",
+      {"no prefill target",
        [](EngineFleetPlan &plan) { plan.Replicas.TargetPrefillShare = 1e9; }},
-      {"no near-equals",
+      {"no cost tolerance",
        [](EngineFleetPlan &plan) {
          plan.Table.CostTolerance = 0;
          plan.Table.CostToleranceShare = 0;
        }},
-      {"reading weighs once",
+      {"prefill weight 1",
        [](EngineFleetPlan &plan) { plan.Table.PrefillWeight = 1; }},
-      {"open calls weigh nothing",
+      {"open call weight 0",
        [](EngineFleetPlan &plan) { plan.Table.OpenCallWeight = 0; }},
   };
 }
@@ -71,7 +71,7 @@
           isProductPolicy ? "most" : ""};
       Figure recomputedShared{overloadCase.Deployment,
                               policy.Name,
-                              "shared tokens read",
+                              "shared tokens prefilled",
                               "million",
                               {},
                               ""};
@@ -93,7 +93,9 @@
 } // namespace
 
 Experiment overloadExperiment() {
-  return {"overload", "Placement, limits and replicas where prompts bind.",
+  return {"overload",
+          "placement, admission and autoscaling where prefill limits the "
+          "throughput",
           run};
 }
 
--- a/Utilities/sorrelbay-bench/Placement.cpp
+++ b/Utilities/sorrelbay-bench/Placement.cpp
@@ -530,7 +530,7 @@
 
 Experiment placementExperiment() {
   return {"placement",
-          "where calls go: tokens computed once more, and the wait", run};
+          "recomputed tokens and time to first token by placement policy", run};
 }
 
 } // namespace sorrelbay
--- a/Utilities/sorrelbay-bench/Recovery.cpp
+++ b/Utilities/sorrelbay-bench/Recovery.cpp
@@ -11,7 +11,8 @@
   double Load;
 };
 
-/// At the load of 0.9 the remaining engines can't hold all answers.
+/// At a load of 0.9, the engines that remain after the reclaim lack the
+/// capacity for all open answers.
 constexpr Deployment Deployments[] = {{"Tablón Sur", 9, 0.6},
                                       {"Tablón Sur, full", 9, 0.9},
                                       {"Caltagirone", 12, 0.6},
@@ -118,7 +119,9 @@
     return figures;
   };
   return {"recovery",
-          "open answers in a zone's reclaim with a notice of 2 to 30 s", run};
+          "recovery of open answers when a zone is reclaimed with a notice of "
+          "2 to 30 s",
+          run};
 }
 
 } // namespace sorrelbay
--- a/Utilities/sorrelbay-load/main.cpp
+++ b/Utilities/sorrelbay-load/main.cpp
@@ -47,8 +47,8 @@
   std::cout << name << ": first token median "
             << toMs(quantile(result.FirstTokens, 0.5)) << " ms, p99 "
             << toMs(quantile(result.FirstTokens, 0.99)) << " ms; "
-            << result.CompleteResponses << " whole, " << result.FailedResponses
-            << " broken; "
+            << result.CompleteResponses << " complete, "
+            << result.FailedResponses << " failed; "
             << static_cast<double>(result.Tokens) / toSeconds(result.Elapsed)
             << " tokens/s\n";
 }
@@ -67,7 +67,7 @@
       ->required();
   app.add_option(
       "--direct", direct,
-      "address of an engine, as ip:port, that gets the same load first for "
+      "address of an engine, as ip:port, that receives the same load first for "
       "comparison");
   app.add_option("--process", processId,
                  "process id of the daemon, to report its resource usage");
@@ -99,7 +99,7 @@
     std::cout << "daemon: " << toSeconds(used) << " s of processor time, "
               << static_cast<double>(result.Tokens) /
                      std::max(toSeconds(used), 0.01)
-              << " tokens per second of it; peak "
+              << " tokens per second of processor time; peak "
               << static_cast<double>(sampler.PeakBytes) / 1e6 << " MB, "
               << sampler.PeakThreads << " threads, "
               << growthBytes / 1e3 / static_cast<double>(options.Streams)
