--- a/Utilities/sorrelbay-bench/EngineFleet.cpp
+++ b/Utilities/sorrelbay-bench/EngineFleet.cpp
@@ -27,10 +27,10 @@
   return bounds;
 }
 
-EngineShape shapeOf(const EngineProfile &make) {
+EngineShape shapeOf(const EngineProfile &profile) {
   EngineShape shape;
-  shape.Slots = make.Slots;
-  shape.MemoryTokens = make.MemoryTokens;
+  shape.Slots = profile.Slots;
+  shape.MemoryTokens = profile.MemoryTokens;
   return shape;
 }
 
@@ -279,16 +279,18 @@
 /// Marks the reclaimable engines of zones with a reclaim notice as leaving, and
 /// removes them when the notice expires.
 void EngineFleet::reclaimZones() {
-  for (const ZoneReclaim &loss : Plan.ZoneReclaims) {
-    const double at = toSeconds(Now - Start) - loss.AtSeconds;
+  for (const ZoneReclaim &zoneReclaim : Plan.ZoneReclaims) {
+    const double at = toSeconds(Now - Start) - zoneReclaim.AtSeconds;
     for (auto it = Engines.begin(); it != Engines.end();) {
-      const bool isInReclaimedZone = it->Zone == loss.Zone && it->IsReclaimable;
+      const bool isInReclaimedZone =
+          it->Zone == zoneReclaim.Zone && it->IsReclaimable;
       if (isInReclaimedZone && at >= 0 && !it->IsLeaving) {
         it->IsLeaving = true;
         publishRecord(*it);
       }
-      if (isInReclaimedZone && it->IsLeaving && at >= loss.NoticeSeconds &&
-          at < loss.NoticeSeconds + 1) {
+      if (isInReclaimedZone && it->IsLeaving &&
+          at >= zoneReclaim.NoticeSeconds &&
+          at < zoneReclaim.NoticeSeconds + 1) {
         removeEngine(*it, true);
         it = Engines.erase(it);
       } else {
--- a/Utilities/sorrelbay-bench/HostPlanner.cpp
+++ b/Utilities/sorrelbay-bench/HostPlanner.cpp
@@ -30,16 +30,16 @@
 /// price.
 constexpr double LowestPrice = 0.2;
 constexpr double HighestPrice = 0.5;
-/// Mean time between two reclaims of a zone, and for how many minutes the zone
-/// then refuses to start reclaimable hosts.
+/// Mean time between two reclaims of a zone, and the bounds of the time after
+/// each reclaim in which the zone refuses to start reclaimable hosts.
 constexpr double MeanHoursBetweenReclaims = 8;
 constexpr int MinRefusedMinutes = 5;
 constexpr int MaxRefusedMinutes = 40;
 /// Probability that the start of a reclaimable host is refused at any other
 /// time.
 constexpr double StartRefusalRate = 0.05;
-/// Factor between the capacity that is ordered and the demand that is expected
-/// by the time a host serves.
+/// Ratio of the ordered capacity to the demand that is expected by the time
+/// that an ordered host serves.
 constexpr double Headroom = 1.1;
 
 /// Prices, refusals and reclaims of one zone by step; the same for all policies
--- a/Utilities/sorrelbay-bench/RecoveryFleet.h
+++ b/Utilities/sorrelbay-bench/RecoveryFleet.h
@@ -30,8 +30,8 @@
   Planned,
   /// At the notice, restarts each answer from its prompt.
   RestartAll,
-  /// At the notice, resumes each answer after its last token on the least
-  /// loaded engine, which prefills the prompt and the tokens so far.
+  /// At the notice, resumes each answer on the least loaded engine, which
+  /// prefills the prompt and the tokens so far and continues after them.
   ResumeAtOnce,
   /// Waits until the engine has stopped; then as ResumeAtOnce.
   WaitUntilGone,
@@ -50,7 +50,8 @@
 struct FleetSettings {
   std::size_t Engines = 9;
   std::size_t Zones = 4;
-  /// Most concurrent answers that an engine serves within its latency target.
+  /// Maximum number of concurrent answers that an engine serves within its
+  /// latency target.
   std::uint32_t Capacity = 16;
   double Load = 0.6;
   /// Until this time, each answer that ends is followed by a new one if an
@@ -69,7 +70,7 @@
   std::uint64_t Recomputed = 0;
   std::uint64_t Moved = 0;
   std::uint64_t Resumed = 0;
-  /// Most answers beyond its capacity that any engine had.
+  /// Largest number of answers by which any engine exceeded its capacity.
   std::uint32_t MaxOverload = 0;
   /// Longest time between two tokens of an answer.
   Duration LongestGap{};
@@ -127,7 +128,7 @@
   struct Engine {
     UpstreamId Id;
     std::vector<Attempt> Attempts;
-    bool IsAlive;
+    bool IsRunning;
   };
   struct Caller {
     AnswerStream Answer;
@@ -240,7 +241,7 @@
     for (const Reclaim &it : Settings.Reclaims)
       reclaim(it);
     for (Engine &it : Engines)
-      if (it.IsAlive)
+      if (it.IsRunning)
         decode(it);
     deliverDelayed();
     finishTransfers();
@@ -278,7 +279,7 @@
   }
 
   void stopEngine(Engine &engine) {
-    engine.IsAlive = false;
+    engine.IsRunning = false;
     const std::vector<Attempt> cutAttempts = std::move(engine.Attempts);
     engine.Attempts.clear();
     for (const Attempt &it : cutAttempts) {
@@ -298,7 +299,7 @@
   Engine *leastLoaded() {
     Engine *best = nullptr;
     for (Engine &it : Engines)
-      if (it.IsAlive && !isLeavingEngine(it) &&
+      if (it.IsRunning && !isLeavingEngine(it) &&
           (!best || it.Attempts.size() < best->Attempts.size()))
         best = &it;
     return best;
@@ -457,12 +458,12 @@
       const std::size_t caller = callerOf(it.Request);
       const std::uint64_t tokens = Callers[caller].Description.PromptTokens +
                                    Callers[caller].Answer.nextOffset();
-      const Duration took = fromSeconds(
+      const Duration transferTime = fromSeconds(
           static_cast<double>(tokens) * Settings.Recovery.CacheBytesPerToken /
           Settings.Recovery.MoveBytesPerSecond *
           static_cast<double>(drawBetween(80, 130)) / 100);
       Transfers.push_back(
-          {caller, it.From, it.To, tokens, Step + 1 + stepOf(took)});
+          {caller, it.From, it.To, tokens, Step + 1 + stepOf(transferTime)});
     }
     for (const AnswerResumption &it : actions.Resumes) {
       const std::size_t caller = callerOf(it.Request);
@@ -483,7 +484,7 @@
     for (const Transfer &it : done) {
       const RequestId &request = Callers[it.Caller].Description.Request;
       // The plan has dropped the moves of a stopped engine.
-      if (!engine(it.From).IsAlive || !engine(it.To).IsAlive)
+      if (!engine(it.From).IsRunning || !engine(it.To).IsRunning)
         continue;
       if (happens(Settings.Faults.MoveFails)) {
         perform(Plan.moveFailed(at(), request));
@@ -514,10 +515,10 @@
 
   bool isWhole(std::size_t index) const {
     const Caller &caller = Callers[index];
-    std::string undisturbedText;
+    std::string expectedText;
     std::string text;
     for (std::uint64_t i = 0; i < caller.Length; ++i)
-      undisturbedText += tokenText(index, i);
+      expectedText += tokenText(index, i);
     for (std::size_t i = 0; i < caller.Received.size(); ++i) {
       if (caller.Received[i].Id != i)
         return false;
@@ -526,7 +527,7 @@
     const bool hasEnd =
         Settings.SkipsTokenChecks ||
         (!caller.Received.empty() && caller.Received.back().IsEnd);
-    return hasEnd && text == undisturbedText;
+    return hasEnd && text == expectedText;
   }
 
   FleetSettings Settings;
