--- a/Libraries/LibLoad/EngineDemand.h
+++ b/Libraries/LibLoad/EngineDemand.h
@@ -15,7 +15,8 @@
 /// are. Not thread-safe.
 class EngineDemand {
 public:
-  /// A call has arrived at this host that needs `milliseconds` of engine time.
+  /// Records a call that arrived at this host and needs `milliseconds` of
+  /// engine time.
   void note(const ServiceId &service, double milliseconds, Instant now);
   /// Replaces the demand that the peer reported before. Rates that are
   /// negative, not finite or implausibly large are ignored.
--- a/Libraries/LibLoad/EngineModel.cpp
+++ b/Libraries/LibLoad/EngineModel.cpp
@@ -8,8 +8,8 @@
 /// squares, in tokens.
 static constexpr double ShortPrompt = 0;
 static constexpr double LongPrompt = 4000;
-/// Observations of more tokens, or of a longer time in milliseconds, are
-/// ignored as no evidence of an engine's speed.
+/// Observations with more tokens than this, or with a longer time in
+/// milliseconds, are implausible and ignored.
 static constexpr double MaxSampleTokens = 1e6;
 static constexpr double MaxSampleTime = 20000;
 /// Weight of the usual speed in an upstream's slowness, in milliseconds.
--- a/Libraries/LibLoad/PromptCacheEstimate.h
+++ b/Libraries/LibLoad/PromptCacheEstimate.h
@@ -19,14 +19,14 @@
 
 /// This host's estimate of the prompt parts that upstreams have cached: parts
 /// that it sent there recently, and parts that callers use so often that each
-/// upstream has read them. A wrong estimate costs time but never gives a wrong
-/// response. Not thread-safe.
+/// upstream has prefilled them. A wrong estimate costs time but never gives a
+/// wrong response. Not thread-safe.
 class PromptCacheEstimate {
 public:
   explicit PromptCacheEstimate(PromptCacheEstimateSettings settings = {})
       : Settings(settings) {}
 
-  /// A call with the part was sent to the upstream.
+  /// Records that a call with the part was sent to the upstream.
   void note(const UpstreamId &upstream, const std::string &part, Instant now);
   /// The probability in [0, 1] that the upstream has the part cached, given the
   /// number of hosts that send calls and of upstreams that receive them.
--- a/Libraries/LibServing/Allotment.h
+++ b/Libraries/LibServing/Allotment.h
@@ -27,9 +27,9 @@
 
 /// The part of a team's allotment that is granted to callers. The rest covers
 /// what hosts admit before they receive each other's reports. In a small fleet
-/// that fits into the slack, and a fraction of the slack is granted as well;
-/// where reports are aggregated by zone it does not, and a part of the
-/// allotment is held back.
+/// the slack covers this, and a fraction of the slack is granted in addition to
+/// the allotment. Where reports are aggregated by zone the slack is too small,
+/// and a part of the allotment is reserved.
 ///
 /// A part of the burst is refilled evenly over the window instead of being
 /// available at once. The total per window stays the same, but a team that
--- a/Libraries/LibServing/ColdShare.h
+++ b/Libraries/LibServing/ColdShare.h
@@ -10,9 +10,9 @@
 /// The number of calls that the host `self` may send to a cold upstream within
 /// any second, out of the `perSecond` that all hosts together may send. The
 /// first hosts in the upstream's rendezvous hashing order get equal shares and
-/// the others none, so that hosts need no messages to agree: if some hosts do
-/// not know of another one, its share is granted once more, but no further.
-/// Returns 0 if `self` is not in `hosts`, or if nothing may be sent.
+/// the others none, so that the hosts need no messages to divide the rate. If a
+/// host is unknown to some of the others, at most one share is granted in
+/// addition. Returns 0 if `self` is not in `hosts`, or if nothing may be sent.
 int coldRateShare(const UpstreamId &upstream, const HostId &self,
                   const std::vector<HostId> &hosts, double perSecond);
 
--- a/Libraries/LibServing/FleetClock.h
+++ b/Libraries/LibServing/FleetClock.h
@@ -6,10 +6,10 @@
 
 namespace sorrelbay {
 
-/// The time since 1970 that most hosts agree on. A host's wall clock may jump
-/// by seconds and back, so it is read once, when the process starts, and
-/// advanced by the boot clock. Taking the median over all hosts corrects a host
-/// that started while its clock was off.
+/// The time since 1970 as the median of all hosts' estimates. A host's wall
+/// clock may jump by seconds and back, so it is read once, when the process
+/// starts, and advanced by the boot clock. The median corrects a host whose
+/// clock was wrong when its process started.
 class FleetClock {
 public:
   FleetClock(Instant wallAtStart, Instant bootAtStart)
--- a/Libraries/LibServing/FleetReport.h
+++ b/Libraries/LibServing/FleetReport.h
@@ -91,8 +91,8 @@
   /// report included from each host. The receiver uses it to subtract its own
   /// contribution.
   std::map<HostId, std::uint64_t> Included;
-  /// What the hosts know of rollouts, as encoded by RolloutCodec; empty if
-  /// there are none.
+  /// The hosts' records of rollouts, as encoded by RolloutCodec; empty if there
+  /// are none.
   std::string Moves;
 };
 
--- a/Libraries/LibServing/FleetReportMerger.cpp
+++ b/Libraries/LibServing/FleetReportMerger.cpp
@@ -46,7 +46,7 @@
   Tables.Demand.notePeer(source, report.Demand);
   const bool isSum = report.Scope != ReportScope::Host;
   // When this host becomes or stops being an aggregator, the teams have already
-  // been charged for the content of a new sum by way of earlier sums.
+  // been charged for the content of a new sum through earlier sums.
   const bool isAlreadyCharged =
       isSum && HasCountedSum && CountedReports.count(source) == 0;
   HasCountedSum = HasCountedSum || isSum;
--- a/Libraries/LibServing/FleetView.cpp
+++ b/Libraries/LibServing/FleetView.cpp
@@ -159,7 +159,7 @@
     updateKnownHostCount();
   if (report.Scope == ReportScope::Host || report.Members.empty())
     return;
-  // A sum lists all hosts that are still alive there.
+  // A sum lists all hosts of its zone that are still running.
   std::set<HostId> listedHosts;
   for (const FleetMember &it : report.Members)
     listedHosts.insert(it.Host);
@@ -353,8 +353,8 @@
     auto rankedHosts = ranked(&zone, Settings.SilenceLimit * 2, now);
     addFirst(rankedHosts);
     // A host that can reach the store again becomes the aggregator before other
-    // zones learn of it. Without this, its zone would miss the reports sent in
-    // the meantime.
+    // zones receive its report. Without this, its zone would miss the reports
+    // sent in the meantime.
     for (FleetMember &it : rankedHosts)
       it.IsStoreUnreachable = false;
     std::sort(rankedHosts.begin(), rankedHosts.end(), ranksBefore);
--- a/Libraries/LibServing/ReplicaAutoscaler.h
+++ b/Libraries/LibServing/ReplicaAutoscaler.h
@@ -15,8 +15,8 @@
   /// Replicas that are not leaving.
   int OnDemand = 0;
   int Reclaimable = 0;
-  /// Reclaimable replicas of the zone have a reclaim notice and are not gone
-  /// yet.
+  /// Reclaimable replicas of the zone have a reclaim notice and are still
+  /// running.
   bool HasReclaimNotice = false;
   /// Operators have evacuated the zone: its replicas get no calls until the
   /// evacuation ends.
--- a/Libraries/LibServing/ReplicaRecord.h
+++ b/Libraries/LibServing/ReplicaRecord.h
@@ -20,10 +20,10 @@
   int Slots = 1;
   bool IsLeaving = false;
   bool IsReclaimable = false;
-  /// Time for which the upstream, just started, is still slow. More calls than
-  /// its service's cold rate make it crash.
+  /// Time after its start for which the upstream is slow. During this time,
+  /// more calls than its service's cold rate make it crash.
   Duration ColdDuration{};
-  /// Time until a leaving upstream is gone, if it reports it.
+  /// Time until a leaving upstream exits; empty if not reported.
   std::optional<Duration> LeavesIn;
   /// When this incarnation started, in milliseconds since 1970 by the
   /// upstream's clock; 0 if not reported.
--- a/Libraries/LibServing/ReplicaTable.cpp
+++ b/Libraries/LibServing/ReplicaTable.cpp
@@ -239,7 +239,7 @@
                                      const ReplicaRequest &request,
                                      bool isAffinityUpstream,
                                      std::size_t upstreams, Instant now) const {
-  auto left = static_cast<double>(request.PromptTokens);
+  auto uncached = static_cast<double>(request.PromptTokens);
   double cachedShare = 1;
   for (std::size_t n = 0; n + 1 < request.Prompt.size(); ++n) {
     const PromptPart &part = request.Prompt[n];
@@ -250,9 +250,9 @@
                                 request.Hosts, static_cast<double>(upstreams),
                                 now);
     cachedShare *= partLikelihood;
-    left -= cachedShare * static_cast<double>(part.Tokens);
+    uncached -= cachedShare * static_cast<double>(part.Tokens);
   }
-  return std::max(0.0, left);
+  return std::max(0.0, uncached);
 }
 
 std::vector<ReplicaTable::Candidate>
--- a/Libraries/LibServing/ReplicaTable.h
+++ b/Libraries/LibServing/ReplicaTable.h
@@ -155,9 +155,10 @@
 
   /// Adds an upstream, or updates its registration.
   void note(const ReplicaRecord &record, Instant now);
-  /// Removes an upstream whose registration is gone: it gets no new calls.
+  /// Removes an upstream whose registration was deleted: it gets no new calls.
   void remove(const UpstreamId &id);
-  /// Everything that the store held at the time `begun` has been added.
+  /// Records that everything that the store held at the time `begun` has been
+  /// added.
   void noteConfirmed(Instant begun) { ConfirmedAt = begun; }
   const ReplicaRecord *find(const UpstreamId &id) const;
   std::vector<ReplicaRecord> records() const;
@@ -170,11 +171,10 @@
   /// Sets all hosts that may send calls, including this one. A host that does
   /// not know them sends nothing to a cold upstream.
   void setHosts(const HostId &self, std::vector<HostId> hosts);
-  /// From now on the zone's upstreams get no calls.
+  /// Excludes the zone's upstreams from calls until `endEvacuation`.
   void beginEvacuation(const ZoneId &zone);
-  /// The zone's upstreams may be used again. They may have become cold
-  /// meanwhile, and count as cold until a newer view of the store is
-  /// confirmed.
+  /// Allows calls to the zone's upstreams again. They may have become cold
+  /// meanwhile, and count as cold until a newer view of the store is confirmed.
   void endEvacuation(const ZoneId &zone, Instant now);
   bool isEvacuated(const ZoneId &zone) const {
     return Evacuated.count(zone) != 0;
@@ -187,10 +187,11 @@
                                       Instant now);
 
   void noteSent(const UpstreamId &id, const CallCost &work, Instant now);
-  /// The prompt was sent to the upstream, which will have it cached.
+  /// Records that the prompt was sent to the upstream, which will have it
+  /// cached.
   void notePrompt(const UpstreamId &id, const std::vector<PromptPart> &prompt,
                   Instant now);
-  /// The first byte arrived: the prompt has been prefilled.
+  /// Records that the first byte arrived: the prompt has been prefilled.
   void noteFirstByte(const UpstreamId &id, const CallCost &work);
   /// Updates the estimate of the upstream's speed by a time to first token.
   void noteFirstToken(const UpstreamId &id, const FirstTokenSample &seen,
@@ -199,8 +200,8 @@
   const EngineModel &modelOf(const ServiceId &service) {
     return Models[service];
   }
-  /// The send has ended. `hadFirstByte` states whether its first byte had
-  /// arrived.
+  /// Records the end of a send. `hadFirstByte` states whether its first byte
+  /// had arrived.
   void noteEnded(const UpstreamId &id, const CallCost &work, bool hadFirstByte,
                  SendResult result, Instant now);
   /// Replaces the work in progress at all upstreams that a peer reported
--- a/Libraries/LibServing/ServingCall.h
+++ b/Libraries/LibServing/ServingCall.h
@@ -29,8 +29,8 @@
   std::optional<std::int64_t> PromptTokens;
   std::int64_t MaxOutputTokens = 0;
   std::vector<PromptPart> Prompt;
-  /// The id of the last event that the caller received of a stream that it
-  /// resumes.
+  /// If the caller resumes a stream, the id of the last event that it received;
+  /// empty otherwise.
   std::string LastEventId;
 };
 
--- a/Libraries/LibServing/StopPolicy.h
+++ b/Libraries/LibServing/StopPolicy.h
@@ -8,7 +8,7 @@
 /// all of them, because callers keep its address for a while and a refusal
 /// would cost them a round trip; later only those that are sure to end before
 /// the process does. A long response that is accepted late is cut off when the
-/// grace period ends, and its caller is left with an incomplete answer.
+/// grace period ends, and its caller is left with an incomplete response.
 bool acceptsCallWhileStopping(Duration sinceStop, Duration grace,
                               Duration waitLimit);
 
--- a/Libraries/LibServing/StoreReachability.h
+++ b/Libraries/LibServing/StoreReachability.h
@@ -9,7 +9,7 @@
 /// requests. Not thread-safe.
 class StoreReachability {
 public:
-  /// Records whether a request reached the store and was answered.
+  /// Records whether a request to the store got a response.
   void note(bool isReached, Instant now);
   /// Whether the last request failed: this host then keeps querying the store
   /// itself.
--- a/Libraries/LibServing/TeamRateLimiter.cpp
+++ b/Libraries/LibServing/TeamRateLimiter.cpp
@@ -63,8 +63,9 @@
   peer.Incarnation = use.Incarnation;
   if (use.IsSum && !isFirst) {
     // Two aggregators may have started to count at different times, so the
-    // difference between their sums means little. The new aggregator knows the
-    // pace of its sum, including changes after the previous one's last report.
+    // difference between their sums means little. The new aggregator has
+    // measured the pace of its sum, including changes after the previous one's
+    // last report.
     const double gap =
         toSeconds(std::min<Duration>(now - peer.ReportedAt, MaxReporterGap));
     const auto estimatedGrowth = static_cast<UsedUnits>(
@@ -99,23 +100,23 @@
   Peer &it = Peers[peer];
   if (it.Incarnation != use.Incarnation)
     beginIncarnation(it, use, now);
-  const auto fresh = static_cast<double>(use.Used - it.Used);
-  updatePace(it, fresh, use.IsSum, now);
+  const auto newUnits = static_cast<double>(use.Used - it.Used);
+  updatePace(it, newUnits, use.IsSum, now);
   it.Used = use.Used;
   it.Level = use.Level;
-  Level -= fresh - it.ChargedAhead;
+  Level -= newUnits - it.ChargedAhead;
   it.ChargedAhead = 0;
   it.ChargedAheadUntil = now;
   clampOwnLevel();
 }
 
-/// A sum's pace is updated on every report: it stands for many hosts, and while
-/// it lags behind all of them admit too much.
-void TeamRateLimiter::updatePace(Peer &peer, double fresh, bool isSum,
+/// A sum's pace is updated on every report: it covers many hosts, and while it
+/// lags behind, all hosts admit too much.
+void TeamRateLimiter::updatePace(Peer &peer, double newUnits, bool isSum,
                                  Instant now) {
   if (now - peer.ReportedAt > BacklogSilence)
     peer.BacklogUntil = now + BacklogDrainTime;
-  peer.UnitsSincePace += std::max(0.0, fresh);
+  peer.UnitsSincePace += std::max(0.0, newUnits);
   peer.ReportedAt = now;
   const bool isTrusted =
       now >= peer.BacklogUntil && now - peer.PacedAt >= MinPaceSpan;
--- a/Libraries/LibServing/TeamRateLimiter.h
+++ b/Libraries/LibServing/TeamRateLimiter.h
@@ -42,10 +42,10 @@
   /// charged everything that they have admitted since their start, it would
   /// refuse the team's calls until the bucket had refilled by that much.
   void notePeer(const SourceId &peer, const PeerUsage &use, Instant now);
-  /// The peer is gone; its pace is no longer extrapolated.
+  /// Records that the peer has exited; its pace is no longer extrapolated.
   void forgetPeer(const SourceId &peer);
-  /// Another source now covers this peer. If the peer is counted again later,
-  /// what it counted in the meantime is not charged a second time.
+  /// Removes a peer that another source now covers. If the peer is counted
+  /// again later, what it counted in the meantime is not charged a second time.
   void erasePeer(const SourceId &peer) { Peers.erase(peer); }
 
   /// Takes the units out of the bucket; false if the team has exhausted its
@@ -66,7 +66,7 @@
 
   /// Units in the bucket at its last update; below zero after a large call.
   double level() const { return Level; }
-  /// The level for peers that start; nothing before the first call.
+  /// The level for peers that start; empty before the first call.
   std::optional<double> settledLevel() const {
     return IsFilled ? std::optional(Level) : std::nullopt;
   }
@@ -93,7 +93,7 @@
   };
 
   void beginIncarnation(Peer &peer, const PeerUsage &use, Instant now);
-  static void updatePace(Peer &peer, double fresh, bool isSum, Instant now);
+  static void updatePace(Peer &peer, double newUnits, bool isSum, Instant now);
   double clampLevel(double level) const;
   void clampOwnLevel();
   void updateAdmittedFraction(std::int64_t rate, Instant now);
--- a/Libraries/LibServing/UsageAggregator.cpp
+++ b/Libraries/LibServing/UsageAggregator.cpp
@@ -35,7 +35,7 @@
   if (known.Incarnation != usageReport.Incarnation)
     beginIncarnation(known, usageReport, now);
   // What a source counted during a long silence is spread over that time.
-  const double late =
+  const double spansSinceReport =
       isFirst ? 1 : toSeconds(now - known.At) / toSeconds(PaceSpan);
   known.At = now;
   for (const auto &[team, units] : usageReport.Used) {
@@ -46,7 +46,7 @@
     // The first report of a source covers its whole lifetime and gives no pace.
     if (!isFirst)
       Grown[team] += static_cast<UsedUnits>(static_cast<double>(growth) /
-                                            std::max(1.0, late));
+                                            std::max(1.0, spansSinceReport));
   }
   sample(now);
 }
--- a/Libraries/LibServing/UsageAggregator.h
+++ b/Libraries/LibServing/UsageAggregator.h
@@ -24,7 +24,7 @@
 struct ReportedUsage {
   IncarnationId Incarnation;
   std::map<TeamId, UsedUnits> Used;
-  /// The recent growth in units per second, where the reporter knows it.
+  /// The recent growth in units per second, where the reporter has measured it.
   std::map<TeamId, double> Pace;
   CounterBaseline From = CounterBaseline::Zero;
 };
--- a/Libraries/LibServing/UsageCounts.h
+++ b/Libraries/LibServing/UsageCounts.h
@@ -57,8 +57,8 @@
     TeamCounts Others;
     TeamCounts OwnZone;
   };
-  /// The counts of the given window and all later ones, for the processes that
-  /// come after this one.
+  /// The counts of the given window and all later ones, for processes that
+  /// start later.
   std::map<WindowNumber, Counted> snapshotFrom(WindowNumber window) const;
   /// Merges the snapshot of another process; the higher count is kept. Its sums
   /// over other zones are relative to its own zone and are not merged.
@@ -75,7 +75,7 @@
 };
 
 /// Which of the windows to report first: the one that is due next. Overdue
-/// windows come last, since nothing is lost by their waiting. Nothing if there
+/// windows come last, since a further delay does no more harm. Nothing if there
 /// are no windows. `window` is the length of a window, `dueAfterEnd` the time
 /// from its end until it is due, and `fleetNow` the fleet time.
 std::optional<WindowNumber>
--- a/Tests/LibLoad/TestEngineModel.cpp
+++ b/Tests/LibLoad/TestEngineModel.cpp
@@ -50,9 +50,9 @@
 
 BOOST_AUTO_TEST_SUITE(engine_model)
 
-// The engines of a service are replaced by another type. With figures that fit
-// the old type, calls go to engines that are seconds behind.
-BOOST_DATA_TEST_CASE(each_make_of_engine_is_learned,
+// The engines of a service are replaced by another type. With estimates that
+// fit the old type, calls go to engines that have seconds of prefill queued.
+BOOST_DATA_TEST_CASE(each_type_of_engine_is_learned,
                      boost::unit_test::data::make(Engines), engine) {
   EngineModel model;
   Instant now{seconds(100)};
@@ -90,7 +90,7 @@
   BOOST_TEST(model.prefillTime(5000) > 0.75 * Engines[2].PerToken * 5000);
 }
 
-BOOST_AUTO_TEST_CASE(what_cannot_be_is_not_learned) {
+BOOST_AUTO_TEST_CASE(impossible_observations_are_ignored) {
   EngineModel model;
   Instant now{seconds(100)};
   addFirstTokens(model, Usual, Engines[1], 50, now);
--- a/Tests/LibLoad/TestSmallParts.cpp
+++ b/Tests/LibLoad/TestSmallParts.cpp
@@ -17,7 +17,7 @@
 
 BOOST_AUTO_TEST_SUITE(prompt_cache_estimate)
 
-BOOST_AUTO_TEST_CASE(a_part_is_where_it_was_sent_lately) {
+BOOST_AUTO_TEST_CASE(a_part_is_cached_where_it_was_sent_recently) {
   PromptCacheEstimate cache;
   const Instant now{seconds(100)};
   BOOST_TEST(cache.likelihood(First, "a", 1, 20, now) == 0);
@@ -27,10 +27,10 @@
   BOOST_TEST(cache.likelihood(First, "a", 1, 20, now + seconds(60)) < 0.1);
 }
 
-// A few prefixes are shared by nearly all prompts, and each upstream has read
-// them for some host. A host that considers only its own sends would keep calls
-// at upstreams that have much more work.
-BOOST_AUTO_TEST_CASE(a_part_that_is_used_much_is_everywhere) {
+// A few prefixes are shared by nearly all prompts, and each upstream has
+// prefilled them for calls of some host. A host that considers only its own
+// sends would keep calls at upstreams that have much more work.
+BOOST_AUTO_TEST_CASE(a_frequently_used_part_is_cached_everywhere) {
   PromptCacheEstimate cache;
   Instant now{seconds(100)};
   for (int n = 0; n < 20; ++n, now += milliseconds(100))
@@ -39,7 +39,7 @@
   BOOST_TEST(cache.likelihood(Second, "a", 10, 2000, now) < 0.2);
 }
 
-BOOST_AUTO_TEST_CASE(it_stays_bounded) {
+BOOST_AUTO_TEST_CASE(the_number_of_entries_stays_bounded) {
   PromptCacheEstimate cache({seconds(10), 100});
   Instant now{seconds(100)};
   for (int n = 0; n < 1000; ++n, now += milliseconds(1))
@@ -68,7 +68,7 @@
   BOOST_TEST(demand.total(Model, now + seconds(30)) < 0.01);
 }
 
-BOOST_AUTO_TEST_CASE(a_figure_that_cannot_be_is_left_out) {
+BOOST_AUTO_TEST_CASE(an_impossible_rate_is_ignored) {
   EngineDemand demand;
   const Instant now{seconds(100)};
   for (const double rate :
@@ -83,8 +83,8 @@
 BOOST_AUTO_TEST_SUITE(queue_wait_limits)
 
 // Calls of the highest priority have a shorter latency target than calls of a
-// lower priority. With a limit by their own target alone they would be rejected
-// where the others are admitted.
+// lower priority. If only their own target set the limit, they would be
+// rejected where the others are admitted.
 BOOST_AUTO_TEST_CASE(an_urgent_call_may_wait_as_long_as_a_less_urgent_one) {
   QueueWaitLimits limits(0.5);
   const PromptClass urgent{Model, 0, milliseconds(800)};
--- a/Tests/LibServing/FleetSimulation.cpp
+++ b/Tests/LibServing/FleetSimulation.cpp
@@ -13,7 +13,7 @@
 constexpr std::int64_t Rate = 40000;
 constexpr std::int64_t Burst = 40000;
 constexpr std::int64_t Slack = 30000;
-/// The slack of a large fleet's allotment, as set at large sites.
+/// The slack of a large fleet's allotment, as set in large deployments.
 constexpr std::int64_t AggregatedSlack = 6000;
 /// What the team's callers request, as a multiple of its rate: throughout the
 /// run, or before and during a storm.
@@ -148,9 +148,9 @@
 }
 
 void FleetSimulation::queryStore(Host &host) {
-  const bool mayAskStore =
+  const bool mayQueryStore =
       host.Reach.isUnreached() || host.View->aggregates(host.Member, Now);
-  if (mayAskStore)
+  if (mayQueryStore)
     host.Reach.note(Now >= host.CutFromStoreUntil && Now >= StoreOutageUntil,
                     Now);
 }
@@ -235,9 +235,10 @@
   ServingTeam team;
   team.Rate = Rate;
   team.Burst = Burst;
-  const Allotment most = allotmentFor(team, host.View->isAggregatedByZone(),
-                                      {Slack, AllotmentWindow});
-  if (!host.RateLimiters[Team].take(units, most.Rate, most.Burst, Now))
+  const Allotment teamAllotment = allotmentFor(
+      team, host.View->isAggregatedByZone(), {Slack, AllotmentWindow});
+  if (!host.RateLimiters[Team].take(units, teamAllotment.Rate,
+                                    teamAllotment.Burst, Now))
     return;
   ++Calls;
   AdmittedUnits.emplace_back(Now, units);
@@ -257,7 +258,7 @@
     RetryTimes.push_back(Now);
 }
 
-/// The lease is kept in the store; a reply may be lost after the write was
+/// The lease is kept in the store; a response may be lost after the write was
 /// applied.
 void FleetSimulation::stepLease(Host &host) {
   for (const KnownMember &it : host.View->members())
@@ -342,23 +343,23 @@
                     " retries");
 }
 
-/// Checks what the running hosts know of a window whose reports have settled.
+/// Checks the running hosts' counts of a window whose reports have all arrived.
 void FleetSimulation::checkUsage() {
   const WindowNumber window = Hosts[0].Usage->windowAt(Now) - 1;
-  const auto truth = StartedCalls.find(window);
+  const auto startedCalls = StartedCalls.find(window);
   const Instant end = Hosts[0].Usage->endOf(window);
-  if (truth == StartedCalls.end() || Now < end + seconds(2))
+  if (startedCalls == StartedCalls.end() || Now < end + seconds(2))
     return;
-  const auto begun = static_cast<double>(truth->second);
+  const auto started = static_cast<double>(startedCalls->second);
   const bool isCalm = LastFaultAt < end - UsageWindow;
   for (const Host &it : Hosts) {
     if (!isResponsive(it))
       continue;
     const auto known = static_cast<double>(it.Usage->sum(window)[Team]);
-    if (known > begun)
+    if (known > started)
       recordViolation("usage: a team is billed for calls that it did not make");
     if (isCalm && it.ProcessStartedAt < end - UsageWindow * 2 &&
-        known < begun * (1 - UsageTolerance))
+        known < started * (1 - UsageTolerance))
       recordViolation("usage: calls are missing");
   }
 }
--- a/Tests/LibServing/TestCallRetryState.cpp
+++ b/Tests/LibServing/TestCallRetryState.cpp
@@ -11,8 +11,9 @@
 
 BOOST_AUTO_TEST_SUITE(call_retry_state)
 
-// A booking reaches a desk, which dies before it answers. If it is sent again,
-// two crews go out; if it is reported as not run, its caller books again.
+// An upstream receives a booking and crashes before it responds. If the call is
+// sent again, two crews are dispatched; if it is reported as not run, its
+// caller sends the booking again.
 BOOST_AUTO_TEST_CASE(a_once_only_call_that_may_have_run_is_not_sent_again) {
   CallRetryState retryState(Repeatability::NonIdempotent, 3, Deadline);
   BOOST_TEST(retryState.canSend(Start));
@@ -24,7 +25,7 @@
   BOOST_TEST((retryState.failureKind(Deadline) == CallFailureKind::TimedOut));
 }
 
-BOOST_AUTO_TEST_CASE(a_call_that_was_turned_away_may_go_elsewhere) {
+BOOST_AUTO_TEST_CASE(a_rejected_call_may_be_sent_elsewhere) {
   CallRetryState retryState(Repeatability::NonIdempotent, 2, Deadline);
   retryState.recordSend();
   retryState.recordNotRun();
@@ -39,14 +40,14 @@
 BOOST_AUTO_TEST_CASE(nothing_is_sent_after_the_deadline_or_the_first_byte) {
   CallRetryState late(Repeatability::Idempotent, 3, Deadline);
   BOOST_TEST(!late.canSend(Deadline));
-  CallRetryState answering(Repeatability::Idempotent, 3, Deadline);
-  answering.recordSend();
-  answering.recordResponseStarted();
-  answering.recordFailure();
-  BOOST_TEST(!answering.canSend(Start));
+  CallRetryState responding(Repeatability::Idempotent, 3, Deadline);
+  responding.recordSend();
+  responding.recordResponseStarted();
+  responding.recordFailure();
+  BOOST_TEST(!responding.canSend(Start));
 }
 
-BOOST_AUTO_TEST_CASE(only_what_may_be_repeated_goes_on_after_its_first_byte) {
+BOOST_AUTO_TEST_CASE(only_repeatable_calls_are_resumed_after_the_first_byte) {
   for (const bool mayRepeat : {true, false}) {
     CallRetryState retryState(mayRepeat ? Repeatability::Idempotent
                                         : Repeatability::NonIdempotent,
--- a/Tests/LibServing/TestColdShare.cpp
+++ b/Tests/LibServing/TestColdShare.cpp
@@ -70,7 +70,7 @@
 }
 
 /// The largest number of arrivals within any second.
-std::size_t mostInASecond(const std::vector<Instant> &arrived) {
+std::size_t maxArrivalsPerSecond(const std::vector<Instant> &arrived) {
   std::size_t most = 0;
   for (auto first = arrived.begin(); first != arrived.end(); ++first) {
     const auto last =
@@ -96,7 +96,7 @@
       arrivals(it, [&](const HostId &self, const std::vector<HostId> &hosts) {
         return coldRateShare(Cold, self, hosts, it.PerSecond);
       });
-  BOOST_TEST(static_cast<double>(mostInASecond(arrived)) <=
+  BOOST_TEST(static_cast<double>(maxArrivalsPerSecond(arrived)) <=
              allowed(it.PerSecond));
   // The rate must also be used: after a reclaim all remaining replicas may be
   // cold.
@@ -104,15 +104,15 @@
              0.7 * it.PerSecond * toSeconds(SimulatedTime));
 }
 
-// Guards against a check that passes for a wrong algorithm: equal shares, but
-// at least one call per second for each host, exceed the rate with many hosts.
+// Verifies that the check above detects a wrong algorithm: equal shares, but at
+// least one call per second for each host, exceed the rate with many hosts.
 BOOST_AUTO_TEST_CASE(equal_parts_for_all_hosts_are_noticed) {
   const Fleet fleet{58, 18, 0};
   const auto arrived =
       arrivals(fleet, [](const HostId &, const std::vector<HostId> &hosts) {
         return std::max(1, static_cast<int>(18 / hosts.size()));
       });
-  BOOST_TEST(static_cast<double>(mostInASecond(arrived)) >
+  BOOST_TEST(static_cast<double>(maxArrivalsPerSecond(arrived)) >
              allowed(fleet.PerSecond));
 }
 
--- a/Tests/LibServing/TestFleetSoak.cpp
+++ b/Tests/LibServing/TestFleetSoak.cpp
@@ -21,7 +21,7 @@
 }
 
 struct OmissionCase {
-  FleetOmission Out;
+  FleetOmission Omitted;
   const char *Rule;
   Size At;
 };
@@ -32,8 +32,8 @@
     {FleetOmission::LeaseEnd, "ONE", {7, 4}},
 };
 
-std::ostream &operator<<(std::ostream &out, const OmissionCase &left) {
-  return out << "without the mechanism behind " << left.Rule;
+std::ostream &operator<<(std::ostream &out, const OmissionCase &omission) {
+  return out << "without the mechanism behind " << omission.Rule;
 }
 
 constexpr int Seconds = 40;
@@ -44,8 +44,8 @@
 
 // Hosts are killed, freeze, and lose their connections to each other and to the
 // store while a team requests three times its allotment. Without shared limits
-// other teams would wait, a failing desk would receive retry after retry, and
-// two hosts would bill the same window.
+// other teams would wait, a failing upstream would receive an unlimited number
+// of retries, and two hosts would bill the same window.
 BOOST_DATA_TEST_CASE(randomised_hosts_keep_the_rules_together,
                      boost::unit_test::data::make(Sizes), size) {
   const std::uint64_t seeds = soakSeeds(size.Hosts > 20 ? 1 : 6);
@@ -54,13 +54,13 @@
   int holders = 0;
   double maxWindowUse = 0;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-    FleetSimulation world({seed, size.Hosts, size.Zones});
-    const std::string violation = world.simulate(Seconds);
+    FleetSimulation simulation({seed, size.Hosts, size.Zones});
+    const std::string violation = simulation.simulate(Seconds);
     BOOST_TEST(violation == "", "seed " << seed << ": " << violation);
-    calls += world.calls();
-    faults += world.faults();
-    holders += world.holders();
-    maxWindowUse = std::max(maxWindowUse, world.maxWindowUse());
+    calls += simulation.calls();
+    faults += simulation.faults();
+    holders += simulation.holders();
+    maxWindowUse = std::max(maxWindowUse, simulation.maxWindowUse());
   }
   BOOST_TEST_MESSAGE(size << ": " << seeds << " seeds, " << calls << " calls, "
                           << faults << " faults, " << holders << " holders, "
@@ -82,8 +82,8 @@
 
 // The store closes all watches while one team starts to send six times its
 // allotment, so all aggregators fail to reach the store at the same moment. If
-// they were replaced, what zones admit during the change would be charged to
-// nobody, and the team would exceed its allotment.
+// they were replaced, what zones admit during the change would not be charged,
+// and the team would exceed its allotment.
 BOOST_DATA_TEST_CASE(randomised_storms_keep_the_allotment,
                      boost::unit_test::data::make(Storms), storm) {
   std::set<std::uint64_t> seeds{storm.RegressionSeed};
@@ -93,23 +93,24 @@
   for (const std::uint64_t seed : seeds) {
     FleetPlan plan{seed, storm.Of.Hosts, storm.Of.Zones};
     plan.HasStorms = true;
-    FleetSimulation world(plan);
-    const std::string violation = world.simulate(Seconds);
+    FleetSimulation simulation(plan);
+    const std::string violation = simulation.simulate(Seconds);
     BOOST_TEST(violation == "", "seed " << seed << ": " << violation);
-    maxWindowUse = std::max(maxWindowUse, world.maxWindowUse());
+    maxWindowUse = std::max(maxWindowUse, simulation.maxWindowUse());
   }
   BOOST_TEST_MESSAGE(storm << ": " << seeds.size() << " seeds, " << maxWindowUse
                            << " of the allotment");
 }
 
-BOOST_DATA_TEST_CASE(each_part_left_out_is_noticed,
-                     boost::unit_test::data::make(Omissions), left) {
-  bool isNoticed = false;
-  for (std::uint64_t seed = 1; seed <= 40 && !isNoticed; ++seed) {
-    FleetSimulation world({seed, left.At.Hosts, left.At.Zones, left.Out});
-    isNoticed = world.simulate(Seconds).find(left.Rule) == 0;
+BOOST_DATA_TEST_CASE(each_omitted_mechanism_is_detected,
+                     boost::unit_test::data::make(Omissions), omission) {
+  bool isDetected = false;
+  for (std::uint64_t seed = 1; seed <= 40 && !isDetected; ++seed) {
+    FleetSimulation simulation(
+        {seed, omission.At.Hosts, omission.At.Zones, omission.Omitted});
+    isDetected = simulation.simulate(Seconds).find(omission.Rule) == 0;
   }
-  BOOST_TEST(isNoticed);
+  BOOST_TEST(isDetected);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Tests/LibServing/TestFleetView.cpp
+++ b/Tests/LibServing/TestFleetView.cpp
@@ -162,7 +162,7 @@
 
 // If the reports that a small host receives grow with its zone, its processor
 // time goes into reports and its callers are served late.
-BOOST_AUTO_TEST_CASE(a_small_host_hears_as_much_in_a_large_zone) {
+BOOST_AUTO_TEST_CASE(a_small_host_receives_no_more_in_a_large_zone) {
   int receivedMessages[2] = {};
   int n = 0;
   for (const int hosts : {90, 360}) {
@@ -214,7 +214,8 @@
 }
 
 // A duty holder that receives its zone only as a sum must report the usage of
-// the whole fleet, and a new aggregator must know what the previous one did.
+// the whole fleet, and a new aggregator must include the usage that the
+// previous one had counted.
 BOOST_AUTO_TEST_CASE(a_sum_over_the_own_zone_counts_once_in_the_usage) {
   const TeamId team("t");
   UsageCounts usage(IncarnationId("me"), ZoneId("z0"), seconds(5));
@@ -264,10 +265,10 @@
       BOOST_TEST(it->Levels.at(team) == 1000);
 }
 
-// One of two hundred hosts is gone for good. If the usage of a window had to
-// wait for it, a duty holder that is killed in the meantime would leave the
+// One in a hundred hosts has failed permanently. If the usage of a window had
+// to wait for it, a duty holder that is killed in the meantime would leave the
 // window unreported.
-BOOST_AUTO_TEST_CASE(few_silent_hosts_are_a_small_part) {
+BOOST_AUTO_TEST_CASE(few_silent_hosts_are_a_small_fraction) {
   Fleet fleet(180, 6);
   fleet.rounds(12);
   BOOST_TEST(fleet.Views[0].silentFraction(fleet.Now) == 0);
@@ -279,7 +280,7 @@
 }
 
 // An aggregator loses power. If no other host took over, its zone's hosts and
-// the hosts of other zones would not know each other.
+// those of other zones would not receive each other's reports.
 BOOST_AUTO_TEST_CASE(another_host_aggregates_when_an_aggregator_is_silent) {
   Fleet fleet(80, 4);
   fleet.Work.assign(80, 2);
@@ -311,7 +312,8 @@
 }
 
 // The store is down and no host can reach it. If none of them aggregated, each
-// zone would know only its own calls and grant the whole of a team's allotment.
+// zone would count only its own calls and grant the whole of a team's
+// allotment.
 BOOST_AUTO_TEST_CASE(one_aggregates_although_all_are_cut_off) {
   Fleet fleet(80, 4);
   fleet.Work.assign(80, 2);
@@ -353,9 +355,9 @@
 }
 
 // A zone's aggregator loses its connection to the store and regains it, and
-// other zones learn of that late. Until then the leader sent its updates to
-// hosts that no longer forwarded them, and calls reached upstreams that had
-// long left.
+// other zones receive its reports about that late. Until then the leader sent
+// its updates to hosts that no longer forwarded them, and calls were sent to
+// upstreams that no longer existed.
 BOOST_AUTO_TEST_CASE(news_reaches_a_host_that_aggregates_again) {
   Fleet fleet(24, 3);
   for (int n = 0; n < 12; ++n)
@@ -378,7 +380,7 @@
 // A host of a zone is killed and restarts. A sum that decreased would look like
 // returned units, and a sum that started again from zero would charge the team
 // twice.
-BOOST_AUTO_TEST_CASE(a_sum_never_falls_and_counts_nothing_twice) {
+BOOST_AUTO_TEST_CASE(a_sum_never_decreases_and_counts_nothing_twice) {
   UsageAggregator sum;
   const TeamId team("t");
   const SourceId host("a");
@@ -424,9 +426,8 @@
 }
 
 // A zone's aggregator is killed while a team starts to send six times as much.
-// What the zone admits until the next aggregator reports would be charged to
-// nobody.
-BOOST_AUTO_TEST_CASE(what_came_between_two_aggregators_is_counted_by_the_pace) {
+// What the zone admits until the next aggregator reports would not be charged.
+BOOST_AUTO_TEST_CASE(growth_between_two_aggregators_follows_the_new_pace) {
   UsageAggregator sum;
   const TeamId team("t");
   const SourceId zone("z");
@@ -438,8 +439,8 @@
             CounterBaseline::EstimatedFromPace},
            now);
   now += milliseconds(800);
-  // The new aggregator started to count long before, and knows the growth of
-  // the last second.
+  // The new aggregator started to count long before, and has measured the
+  // growth of the last second.
   sum.note(zone,
            {IncarnationId("2"),
             {{team, 70000}},
--- a/Tests/LibServing/TestOverload.cpp
+++ b/Tests/LibServing/TestOverload.cpp
@@ -28,7 +28,7 @@
 // are admitted, each prompt delays those behind it, until every response is
 // late and of no use to its caller; if the excess is rejected at once, the rest
 // is in time.
-BOOST_AUTO_TEST_CASE(more_prompts_than_engines_can_read) {
+BOOST_AUTO_TEST_CASE(more_prompts_than_engines_can_prefill) {
   EngineFleetPlan plan = fleet(80);
   plan.EnginesPerZone = 1;
   plan.Load = {{0, 0.5}, {8, 0.9}};
@@ -42,7 +42,7 @@
 
 // In the same overload, large prompts of a kind are rejected no more often than
 // its small ones, and urgent kinds no more often than others.
-BOOST_AUTO_TEST_CASE(an_overload_is_shared_by_urgency) {
+BOOST_AUTO_TEST_CASE(urgent_calls_are_rejected_no_more_often) {
   EngineFleetPlan plan = fleet(80);
   plan.EnginesPerZone = 1;
   plan.Load = {{0, 0.5}, {8, 0.9}};
@@ -57,7 +57,7 @@
 // At low load few calls are open and most replicas seem idle, so that they are
 // removed. The load then rises and zones are reclaimed, and callers wait for
 // seconds until other replicas have started.
-BOOST_AUTO_TEST_CASE(a_rush_and_a_reclaim_after_a_calm) {
+BOOST_AUTO_TEST_CASE(a_load_peak_and_a_reclaim_after_low_load) {
   EngineFleetPlan plan = fleet(140);
   plan.IsScaled = true;
   plan.Seconds = 50;
@@ -94,7 +94,7 @@
 // Three in ten of the long calls belong to one conversation. Its affinity
 // upstream alone cannot serve them, and if all engines prefilled its prompt
 // again, that would exceed their capacity.
-BOOST_AUTO_TEST_CASE(a_hot_conversation_spreads_as_far_as_it_must) {
+BOOST_AUTO_TEST_CASE(a_hot_conversation_spreads_over_several_engines) {
   EngineFleetPlan plan = fleet(100);
   plan.Kinds.push_back({"hot", 18, 2900, 3800, 1, 50, milliseconds(1000), 1});
   const EngineFleetResult result = EngineFleet(plan).play();
@@ -106,7 +106,7 @@
 
 struct Shape {
   const char *Name;
-  EngineProfile Make;
+  EngineProfile Profile;
   int Zones;
   int EnginesPerZone;
   int Hosts;
@@ -121,7 +121,7 @@
     {"four times slower", {9.6, 19, 0.05, 160, 2048, 96, 297000}, 3, 6, 6, 28},
     {"as measured", {38, 4.73, 0.014, 40, 2048, 96, 297000}, 3, 6, 9, 110},
     {"four times faster", {150, 2.2, 0.0, 53, 2048, 48, 444000}, 4, 2, 7, 120},
-    {"few places", {140, 2.2, 0.0, 53, 2048, 16, 444000}, 4, 4, 7, 110},
+    {"few slots", {140, 2.2, 0.0, 53, 2048, 16, 444000}, 4, 4, 7, 110},
     {"one zone", {38, 4.73, 0.014, 40, 2048, 32, 274000}, 1, 12, 6, 80},
     {"six zones", {38, 4.73, 0.014, 40, 512, 64, 274000}, 6, 3, 12, 110},
 };
@@ -131,15 +131,15 @@
 // The settings are used with engines that are several times faster or slower,
 // and with other numbers of slots, chunk sizes and zones. Below capacity nearly
 // all calls are in time, and far above it some still are.
-BOOST_DATA_TEST_CASE(engines_of_any_make, boost::unit_test::data::make(Shapes),
+BOOST_DATA_TEST_CASE(engines_of_any_type, boost::unit_test::data::make(Shapes),
                      shape) {
   EngineFleetPlan plan;
-  plan.Make = shape.Make;
+  plan.Make = shape.Profile;
   plan.Zones = shape.Zones;
   plan.EnginesPerZone = shape.EnginesPerZone;
   plan.Hosts = shape.Hosts;
   plan.Kinds = mixedPrompts(shape.PerSecond);
-  if (shape.Make.TokensPerMs < 10)
+  if (shape.Profile.TokensPerMs < 10)
     for (PromptKind &it : plan.Kinds)
       it.Target *= 4;
   const EngineFleetResult below = EngineFleet(plan).play();
--- a/Tests/LibServing/TestReplicaAutoscaler.cpp
+++ b/Tests/LibServing/TestReplicaAutoscaler.cpp
@@ -33,8 +33,8 @@
         continue;
       }
       autoscaler.noteResult(it, CloudResult::Accepted, Now);
-      const int has = countOf(it);
-      if (it.Count < has)
+      const int current = countOf(it);
+      if (it.Count < current)
         apply(it);
       else
         PendingOrders.emplace_back(Now + Bounds.StartupTime, it);
@@ -87,7 +87,7 @@
 
 BOOST_AUTO_TEST_SUITE(replica_autoscaler)
 
-BOOST_AUTO_TEST_CASE(reclaimable_replicas_take_the_place_of_dearer_ones) {
+BOOST_AUTO_TEST_CASE(reclaimable_replicas_replace_more_expensive_ones) {
   Cloud cloud;
   for (auto &[zone, it] : cloud.Seen)
     it.OnDemand = 2;
@@ -103,7 +103,7 @@
 // All zones are reclaimed and no reclaimable replica is available anywhere.
 // Waiting for reclaimable ones left the service without replicas for 20
 // seconds.
-BOOST_AUTO_TEST_CASE(on_demand_replicas_come_while_others_are_not_to_be_had) {
+BOOST_AUTO_TEST_CASE(on_demand_replicas_start_while_others_are_unavailable) {
   Cloud cloud;
   ReplicaAutoscaler autoscaler(cloud.Bounds, cloud.Shape);
   const ServiceLoad load{80, 500000};
@@ -121,10 +121,10 @@
   BOOST_TEST(cloud.total(true) >= autoscaler.needed());
 }
 
-// A reclaim notice comes seconds before the replicas are gone. On-demand
-// replicas that are ordered only after reclaimable ones have been refused start
-// when the next zone is gone, too.
-BOOST_AUTO_TEST_CASE(a_notice_brings_on_demand_replicas_at_once) {
+// A reclaim notice arrives seconds before the replicas are removed. On-demand
+// replicas that were ordered only after orders for reclaimable ones had been
+// refused started after the next zone had been reclaimed, too.
+BOOST_AUTO_TEST_CASE(a_reclaim_notice_orders_on_demand_replicas_at_once) {
   Cloud cloud;
   ReplicaAutoscaler autoscaler(cloud.Bounds, cloud.Shape);
   const ServiceLoad load{110, 700000};
@@ -168,7 +168,7 @@
 // Zones are reclaimed one after another while the load is slightly lower than
 // before. Reclaimable replicas that were removed in the remaining zones were
 // not available again, and calls queued up.
-BOOST_AUTO_TEST_CASE(nothing_is_sent_away_while_replicas_are_scarce) {
+BOOST_AUTO_TEST_CASE(nothing_is_removed_while_replicas_are_scarce) {
   Cloud cloud;
   ReplicaAutoscaler autoscaler(cloud.Bounds, cloud.Shape);
   cloud.run(autoscaler, {110, 700000}, seconds(40));
@@ -179,10 +179,10 @@
   BOOST_TEST(cloud.Seen[ZoneId("a")].Reclaimable == perZone);
 }
 
-// The lease holder is killed during a short lull. Its successor knew of no peak
-// and removed three of four replicas; when the load rose again, four of sixteen
-// were left.
-BOOST_AUTO_TEST_CASE(a_new_holder_keeps_what_it_finds) {
+// The lease holder is killed during a short lull. Its successor had observed no
+// peak and removed three of four replicas; when the load rose again, four of
+// sixteen were left.
+BOOST_AUTO_TEST_CASE(a_new_holder_keeps_the_observed_replicas) {
   Cloud cloud;
   for (auto &[zone, it] : cloud.Seen)
     it.Reclaimable = 4;
@@ -206,7 +206,7 @@
 // Zones are evacuated under load, and their replicas serve no calls. The
 // reserve for the loss of a zone replaces those of the first zone, new replicas
 // those of the second.
-BOOST_AUTO_TEST_CASE(other_zones_stand_in_for_evacuated_ones) {
+BOOST_AUTO_TEST_CASE(other_zones_replace_evacuated_ones) {
   Cloud cloud;
   cloud.Bounds.MaxReplicas = 60;
   ReplicaAutoscaler autoscaler(cloud.Bounds, cloud.Shape);
@@ -231,7 +231,7 @@
 // A service starts with far more replicas than a low load needs. Zones were
 // reclaimed before the load had been observed for long enough, and costly
 // on-demand replicas replaced ones that were not needed.
-BOOST_AUTO_TEST_CASE(on_demand_replicas_come_by_what_is_known_to_be_needed) {
+BOOST_AUTO_TEST_CASE(on_demand_replicas_cover_only_the_observed_need) {
   Cloud cloud;
   cloud.Bounds.MaxReplicas = 60;
   for (auto &[zone, it] : cloud.Seen)
@@ -248,8 +248,8 @@
 }
 
 // Three of four zones are reclaimed one after another. On-demand replicas that
-// were ordered for two of them started when the third was gone, too.
-BOOST_AUTO_TEST_CASE(one_more_zone_may_go_while_replicas_are_scarce) {
+// were ordered for two of them started after the third had been reclaimed, too.
+BOOST_AUTO_TEST_CASE(one_more_zone_may_be_lost_while_replicas_are_scarce) {
   Cloud cloud;
   cloud.Bounds.MaxReplicas = 60;
   ReplicaAutoscaler autoscaler(cloud.Bounds, cloud.Shape);
--- a/Tests/LibServing/TestReplicaTable.cpp
+++ b/Tests/LibServing/TestReplicaTable.cpp
@@ -80,8 +80,8 @@
 }
 
 // One replica fails most of its calls while its status check passes. Callers
-// see failures as long as it gets its share of the calls.
-BOOST_AUTO_TEST_CASE(an_upstream_that_fails_is_passed_over_and_comes_back) {
+// get errors as long as it gets its share of the calls.
+BOOST_AUTO_TEST_CASE(an_upstream_that_fails_is_ejected_and_readmitted) {
   ReplicaTable table;
   for (int n = 0; n < 4; ++n)
     table.note(replica("r" + std::to_string(n)), Now);
@@ -97,15 +97,16 @@
     BOOST_TEST(
         (table.choose(request("x" + std::to_string(n)), now)->Id != bad));
   now += seconds(20);
-  bool isBack = false;
-  for (int n = 0; n < 200 && !isBack; ++n)
-    isBack = table.choose(request("y" + std::to_string(n)), now)->Id == bad;
-  BOOST_TEST(isBack);
+  bool isReadmitted = false;
+  for (int n = 0; n < 200 && !isReadmitted; ++n)
+    isReadmitted =
+        table.choose(request("y" + std::to_string(n)), now)->Id == bad;
+  BOOST_TEST(isReadmitted);
 }
 
 // An ejected replica is chosen for a probe, but the call goes elsewhere. If the
 // choice counted as the probe, no call would ever complete it.
-BOOST_AUTO_TEST_CASE(a_trial_that_was_not_sent_does_not_keep_an_upstream_out) {
+BOOST_AUTO_TEST_CASE(a_probe_that_was_not_sent_does_not_extend_an_ejection) {
   ReplicaTable table;
   table.note(replica("r0"), Now);
   table.note(replica("r1"), Now);
@@ -124,9 +125,9 @@
   BOOST_TEST((table.choose(it, later)->Id == UpstreamId("r1")));
 }
 
-// All replicas of a desk respond to one call in seven with a server error. That
-// is the desk's normal failure rate and no reason to eject any of them.
-BOOST_AUTO_TEST_CASE(failures_that_all_have_eject_none) {
+// All replicas of a service respond to one call in seven with a server error.
+// That is the service's normal failure rate and no reason to eject any of them.
+BOOST_AUTO_TEST_CASE(failures_common_to_all_upstreams_eject_none) {
   ReplicaTable table;
   for (int n = 0; n < 4; ++n)
     table.note(replica("r" + std::to_string(n)), Now);
@@ -154,10 +155,10 @@
   BOOST_TEST((table.workAt(UpstreamId("r0")) == OutstandingWork{}));
 }
 
-// 200 hosts learn half a second late that a desk has the fewest open calls,
-// while a call takes a tenth of that time. All of them would send their calls
-// there meanwhile, and it would reject most of them.
-BOOST_AUTO_TEST_CASE(many_hosts_do_not_all_choose_the_same_desk) {
+// 200 hosts receive reports half a second late, while a call takes a tenth of
+// that time. All of them would send their calls to the upstream with the fewest
+// open calls until their next reports, and it would reject most of them.
+BOOST_AUTO_TEST_CASE(many_hosts_do_not_all_choose_the_same_upstream) {
   ReplicaTable table;
   std::map<UpstreamId, OutstandingWork> open;
   for (const char *id : {"a", "b", "c", "d", "e", "f"}) {
@@ -214,7 +215,7 @@
 
 // The upstreams of an evacuated zone become cold, and the end of the evacuation
 // is received before their new registrations.
-BOOST_AUTO_TEST_CASE(an_evacuated_zone_gets_nothing_and_comes_back_as_cold) {
+BOOST_AUTO_TEST_CASE(an_evacuated_zone_gets_no_calls_and_is_cold_afterwards) {
   ReplicaTable table;
   table.setColdRate(ServiceId("model"), 1);
   table.setHosts(HostId("h"), {HostId("h")});
@@ -236,7 +237,7 @@
 
 // Calls must stay within the allowed regions of both their team and their
 // route.
-BOOST_AUTO_TEST_CASE(calls_with_homes_stay_in_the_regions_of_both) {
+BOOST_AUTO_TEST_CASE(calls_stay_in_the_regions_of_team_and_route) {
   ReplicaTable table;
   table.setRegions({{ZoneId("a"), "north"}, {ZoneId("b"), "south"}});
   table.note(replica("r0", "a"), Now);
--- a/Tests/LibServing/TestSmallParts.cpp
+++ b/Tests/LibServing/TestSmallParts.cpp
@@ -9,10 +9,10 @@
 
 BOOST_AUTO_TEST_SUITE(event_splitter)
 
-// An engine dies in the middle of an event. If the partial event were
+// An engine crashes in the middle of an event. If the partial event were
 // forwarded, the caller would receive it and then the whole event from the next
 // engine.
-BOOST_AUTO_TEST_CASE(only_whole_events_are_passed_on) {
+BOOST_AUTO_TEST_CASE(only_complete_events_are_forwarded) {
   const std::string stream = "id: 1\ndata: a\n\nid:2\ndata: b\n\nid: 3\ndata";
   for (std::size_t cut = 0; cut <= stream.size(); ++cut) {
     EventSplitter events;
@@ -49,8 +49,8 @@
 BOOST_AUTO_TEST_SUITE(fleet_clock)
 
 // One host's wall clock was two seconds off when its process started. Its usage
-// windows would end early and bill the wrong ones.
-BOOST_AUTO_TEST_CASE(a_host_whose_clock_is_off_is_outvoted) {
+// windows would end early, and calls would be billed in the wrong window.
+BOOST_AUTO_TEST_CASE(a_host_with_a_wrong_clock_uses_the_median) {
   const Instant boot{seconds(50)};
   FleetClock fleetClock(Instant(seconds(1002)), boot);
   BOOST_TEST((fleetClock.at(boot) == Instant(seconds(1002))));
@@ -63,7 +63,7 @@
 BOOST_AUTO_TEST_SUITE_END()
 BOOST_AUTO_TEST_SUITE(usage_counts)
 
-BOOST_AUTO_TEST_CASE(counts_are_summed_over_processes_and_never_fall) {
+BOOST_AUTO_TEST_CASE(counts_are_summed_over_processes_and_never_decrease) {
   UsageCounts usage(IncarnationId("self"), ZoneId("z"), seconds(5));
   const TeamId team("t");
   const Instant at{seconds(12)};
@@ -73,7 +73,7 @@
   usage.noteCallStarted(team, at);
   usage.noteHost(ZoneId("z"), IncarnationId("peer"), window, {{team, 5}});
   usage.noteHost(ZoneId("z"), IncarnationId("peer"), window, {{team, 3}});
-  // The killed process did serve its calls.
+  // The calls of the killed process still count.
   usage.noteHost(ZoneId("z"), IncarnationId("peer again"), window, {{team, 1}});
   BOOST_TEST(usage.sum(window)[team] == 7);
   BOOST_TEST(usage.own()[window][team] == 1);
@@ -99,7 +99,7 @@
   BOOST_TEST(usage.otherZones()[0][team] == 130);
   usage.noteOthers(0, {{team, 131}});
   BOOST_TEST(usage.sum(0)[team] == 134);
-  // A sum over the own zone that comes back from elsewhere is ignored.
+  // A sum over this host's own zone that another zone reports is ignored.
   usage.noteZone(ZoneId("z"), 0, {{team, 50}});
   BOOST_TEST(usage.sum(0)[team] == 134);
 }
@@ -131,8 +131,8 @@
 BOOST_AUTO_TEST_SUITE(allotment)
 
 // Zones that report sums receive each other's usage later, so more is admitted
-// in the meantime; the part of the allotment that is held back covers it.
-BOOST_AUTO_TEST_CASE(a_large_fleet_keeps_a_part_back) {
+// in the meantime; the reserved part of the allotment covers it.
+BOOST_AUTO_TEST_CASE(a_large_fleet_reserves_a_part) {
   ServingTeam team;
   team.Rate = 1000;
   team.Burst = 500;
@@ -144,7 +144,7 @@
 // A team with a low rate and a high burst constantly requests slightly more
 // than its rate. Its burst is exhausted within seconds, and from then on it
 // would be refused although no window contains as much as it may use.
-BOOST_AUTO_TEST_CASE(a_part_of_the_burst_comes_in_with_every_window) {
+BOOST_AUTO_TEST_CASE(a_part_of_the_burst_is_refilled_in_every_window) {
   ServingTeam team;
   team.Rate = 1000;
   team.Burst = 4000;
@@ -156,7 +156,7 @@
   BOOST_TEST((aggregatedAllotment == Allotment{1175, 1880}));
 }
 
-BOOST_AUTO_TEST_CASE(no_limit_stays_none_and_a_small_one_one) {
+BOOST_AUTO_TEST_CASE(no_limit_stays_none_and_a_small_limit_stays_a_limit) {
   ServingTeam team;
   team.Burst = 4000;
   BOOST_TEST(allotmentFor(team, true, {}).Rate == 0);
--- a/Tests/LibServing/TestStopPolicy.cpp
+++ b/Tests/LibServing/TestStopPolicy.cpp
@@ -28,9 +28,9 @@
 } // namespace
 
 // A caller keeps the address of a host that is shutting down and sends it a
-// chat five seconds after the stop. The chat outlasts the grace period, so it
-// was cut off and the user got an incomplete answer.
-BOOST_DATA_TEST_CASE(late_calls_are_taken_only_if_they_end_in_time,
+// chat call five seconds after the stop. The chat outlasts the grace period, so
+// it was cut off and the caller got an incomplete response.
+BOOST_DATA_TEST_CASE(late_calls_are_accepted_only_if_they_end_in_time,
                      boost::unit_test::data::make(Cases), it) {
   BOOST_TEST(acceptsCallWhileStopping(
                  milliseconds(it.SinceStopMs), milliseconds(it.GraceMs),
--- a/Tests/LibServing/TestTeamRateLimiter.cpp
+++ b/Tests/LibServing/TestTeamRateLimiter.cpp
@@ -26,23 +26,24 @@
 
   /// Offers the given units per second in total, to the hosts in turn, and
   /// returns what was admitted.
-  std::int64_t offer(double unitsPerSecond, Duration span, Duration report) {
-    std::int64_t taken = 0;
+  std::int64_t offer(double unitsPerSecond, Duration span,
+                     Duration reportInterval) {
+    std::int64_t admitted = 0;
     const Duration gap =
         fromSeconds(static_cast<double>(CallUnits) / unitsPerSecond);
     Instant now{seconds(100)};
     const Instant end = now + span;
     Instant lastExchange = now;
     for (std::size_t turn = 0; now < end; now += gap, ++turn) {
-      if (now - lastExchange >= report) {
+      if (now - lastExchange >= reportInterval) {
         exchangeReports(now);
         lastExchange = now;
       }
       if (RateLimiters[turn % RateLimiters.size()].take(CallUnits, Rate, Burst,
                                                         now))
-        taken += CallUnits;
+        admitted += CallUnits;
     }
-    return taken;
+    return admitted;
   }
 
   std::vector<TeamRateLimiter> RateLimiters;
@@ -65,8 +66,9 @@
 
 BOOST_AUTO_TEST_CASE(a_team_within_its_allotment_is_never_refused) {
   Fleet fleet(7);
-  const std::int64_t taken = fleet.offer(900, seconds(20), milliseconds(250));
-  BOOST_TEST(taken >= 900 * 20);
+  const std::int64_t admitted =
+      fleet.offer(900, seconds(20), milliseconds(250));
+  BOOST_TEST(admitted >= 900 * 20);
 }
 
 // One team sends eight times its allotment to seven hosts. If each host counted
@@ -74,13 +76,14 @@
 // other teams would wait.
 BOOST_AUTO_TEST_CASE(all_hosts_together_keep_the_allotment) {
   Fleet fleet(7);
-  const std::int64_t taken = fleet.offer(8000, seconds(20), milliseconds(250));
+  const std::int64_t admitted =
+      fleet.offer(8000, seconds(20), milliseconds(250));
   const std::int64_t allowed = Rate * 20 + Burst;
-  BOOST_TEST(taken <= allowed * 11 / 10);
-  BOOST_TEST(taken >= allowed * 9 / 10);
+  BOOST_TEST(admitted <= allowed * 11 / 10);
+  BOOST_TEST(admitted >= allowed * 9 / 10);
 }
 
-BOOST_AUTO_TEST_CASE(a_peer_that_starts_anew_counts_from_zero) {
+BOOST_AUTO_TEST_CASE(a_peer_that_restarts_counts_from_zero) {
   TeamRateLimiter limiter;
   const Instant now{seconds(10)};
   BOOST_TEST(limiter.take(1, Rate, Burst, now));
@@ -92,7 +95,7 @@
 // A host was killed and restarts among peers that have admitted the team's
 // calls for minutes. If it charged all of them at once, it would refuse a team
 // that is well within its allotment for many seconds.
-BOOST_AUTO_TEST_CASE(a_host_that_starts_anew_takes_the_level_from_its_peers) {
+BOOST_AUTO_TEST_CASE(a_host_that_restarts_adopts_its_peers_level) {
   TeamRateLimiter limiter;
   const Instant now{seconds(10)};
   limiter.notePeer(SourceId("a"),
@@ -101,7 +104,7 @@
                    {IncarnationId("1"), 40 * Rate, true, false, {}, 700}, now);
   BOOST_TEST(limiter.take(100, Rate, Burst, now));
   BOOST_TEST(limiter.settledLevel().value() == 500);
-  // What the peers admit from then on counts.
+  // What the peers admit after that is charged.
   limiter.notePeer(SourceId("a"),
                    {IncarnationId("1"), 50 * Rate + 200, true, false, {}, 0},
                    now);
@@ -109,9 +112,9 @@
 }
 
 // In a large fleet a host receives its first call of a team seconds after
-// others did. It knew what they had admitted but not what had been refilled
-// since, and refused callers well within the allotment.
-BOOST_AUTO_TEST_CASE(a_late_first_call_finds_what_has_come_in_meanwhile) {
+// others did. If it charged what they have admitted but did not add what has
+// been refilled since, it would refuse callers well within the allotment.
+BOOST_AUTO_TEST_CASE(a_late_first_call_finds_a_refilled_bucket) {
   TeamRateLimiter limiter;
   Instant now{seconds(10)};
   UsedUnits used = 0;
@@ -125,17 +128,17 @@
 
 // A zone's aggregator changes. What the new one counted before has already been
 // charged to the team; what was admitted in between must not be lost.
-BOOST_AUTO_TEST_CASE(a_sum_goes_on_with_another_aggregator) {
+BOOST_AUTO_TEST_CASE(a_sum_continues_with_another_aggregator) {
   TeamRateLimiter limiter;
   Instant now{seconds(10)};
   const SourceId zone("zone");
   feedZoneSum(limiter, zone, 100, now);
   const double before = limiter.level();
-  // This one started to count long before the first one.
+  // This aggregator started to count long before the first one.
   limiter.notePeer(zone, {IncarnationId("2"), 90000, true, true}, now);
   BOOST_TEST(limiter.level() < before - 50);
   BOOST_TEST(limiter.level() > before - 500);
-  // This one has only just started to count.
+  // This aggregator has only just started to count.
   limiter.notePeer(zone, {IncarnationId("3"), 20, true, true}, now);
   limiter.notePeer(zone, {IncarnationId("3"), 120, true, true},
                    now + milliseconds(250));
@@ -158,7 +161,7 @@
 
 // One host has missed what others admitted, or charged it twice. It would
 // overdraw the allotment, or refuse the team, until it is restarted.
-BOOST_AUTO_TEST_CASE(hosts_agree_on_what_is_left) {
+BOOST_AUTO_TEST_CASE(the_levels_of_hosts_converge) {
   Instant now{seconds(10)};
   TeamRateLimiter high;
   TeamRateLimiter low;
@@ -184,7 +187,7 @@
 
 // A host admits a call right after its start and only then receives the report
 // that the bucket is empty.
-BOOST_AUTO_TEST_CASE(a_host_that_admitted_too_early_takes_its_peers_level) {
+BOOST_AUTO_TEST_CASE(a_host_that_admitted_too_early_adopts_its_peers_level) {
   TeamRateLimiter limiter;
   const Instant now{seconds(10)};
   BOOST_TEST(limiter.take(1, Rate, Burst, now));
@@ -194,9 +197,9 @@
   BOOST_TEST(limiter.level() <= -300);
 }
 
-// A team's large prompts have exhausted its allotment. Its bookings, which take
-// next to nothing, would all be refused for as long as prompts keep coming.
-BOOST_AUTO_TEST_CASE(small_calls_are_let_in_a_little_longer) {
+// A team's large prompts have exhausted its allotment. Its bookings, which need
+// very few units, would all be refused while prompts keep arriving.
+BOOST_AUTO_TEST_CASE(small_calls_are_admitted_from_a_reserve) {
   constexpr std::int64_t LargeRate = 100000;
   TeamRateLimiter limiter;
   const Instant now{seconds(10)};
@@ -222,7 +225,7 @@
   BOOST_TEST(limiter.level() == Burst - 301);
 }
 
-BOOST_AUTO_TEST_CASE(units_of_a_call_that_did_not_run_come_back) {
+BOOST_AUTO_TEST_CASE(units_of_a_call_that_did_not_run_are_returned) {
   TeamRateLimiter limiter;
   const Instant now{seconds(10)};
   BOOST_TEST(limiter.take(Burst, Rate, Burst, now));
@@ -262,8 +265,8 @@
   }
 }
 
-// One host's level is wrong for whatever reason. The others must not move
-// towards a level that no allotment can reach.
+// One host reports a wrong level. The others must not move towards a level that
+// no allotment can reach.
 BOOST_AUTO_TEST_CASE(a_level_that_cannot_be_is_not_taken_over) {
   TeamRateLimiter limiter;
   Instant now{seconds(10)};
