--- a/Libraries/LibServing/FleetView.cpp
+++ b/Libraries/LibServing/FleetView.cpp
@@ -159,7 +159,7 @@
     updateKnownHostCount();
   if (report.Scope == ReportScope::Host || report.Members.empty())
     return;
-  // A sum lists all hosts of its zone that are still running.
+  // A sum lists all running hosts of the zones that it covers.
   std::set<HostId> listedHosts;
   for (const FleetMember &it : report.Members)
     listedHosts.insert(it.Host);
--- a/Tests/LibServing/TestServingPlan.cpp
+++ b/Tests/LibServing/TestServingPlan.cpp
@@ -54,14 +54,14 @@
 
 BOOST_AUTO_TEST_SUITE(serving_plan)
 
-BOOST_DATA_TEST_CASE(the_longest_prefix_of_the_host_names_the_route,
+BOOST_DATA_TEST_CASE(the_longest_path_prefix_selects_the_route,
                      boost::unit_test::data::make(Routes), it) {
   const PlanIndex index(plan());
   const ServingRoute *found = index.routeOf(it.Host, it.Path);
   BOOST_TEST((found ? found->Name.text() : "") == it.Route);
 }
 
-BOOST_AUTO_TEST_CASE(keys_name_their_team) {
+BOOST_AUTO_TEST_CASE(keys_identify_their_team) {
   const PlanIndex index(plan());
   BOOST_TEST(index.needsKeys());
   BOOST_REQUIRE(index.teamOf("k2"));
