--- a/Libraries/LibDecision/Rollout.cpp
+++ b/Libraries/LibDecision/Rollout.cpp
@@ -50,7 +50,7 @@
   return now <= RefreshedAt + Settings.StaleAfter;
 }
 
-void Rollout::refreshed(Instant askedAt) {
+void Rollout::confirmKnowledgeUntil(Instant askedAt) {
   RefreshedAt = std::max(RefreshedAt, askedAt);
 }
 
--- a/Libraries/LibDecision/Rollout.h
+++ b/Libraries/LibDecision/Rollout.h
@@ -73,7 +73,7 @@
   /// The peers have answered a query sent at `askedAt`, so this daemon has
   /// received all knowledge that they had then. The time of the query counts,
   /// not that of the answer: after a pause, the sockets may hold old messages.
-  void refreshed(Instant askedAt);
+  void confirmKnowledgeUntil(Instant askedAt);
 
   /// The input for chooseVersion.
   VersionShares shares() const;
--- a/Libraries/LibOperator/RolloutStatusObject.cpp
+++ b/Libraries/LibOperator/RolloutStatusObject.cpp
@@ -83,7 +83,7 @@
   return "";
 }
 
-std::string encodeMoveStatus(const RolloutStatusObject &status) {
+std::string encodeRolloutStatus(const RolloutStatusObject &status) {
   ordered_json out;
   out["version"] = status.Version.text();
   out["service"] = status.Service.text();
@@ -99,7 +99,7 @@
   return out.dump(-1, ' ', false, ordered_json::error_handler_t::replace);
 }
 
-RolloutStatusObject decodeMoveStatus(const std::string &text) {
+RolloutStatusObject decodeRolloutStatus(const std::string &text) {
   try {
     return fromJson(ordered_json::parse(text));
   } catch (const ordered_json::exception &error) {
@@ -109,11 +109,11 @@
   }
 }
 
-std::vector<RolloutStatusObject> readMoveStatuses(const ObjectApi &api) {
+std::vector<RolloutStatusObject> readRolloutStatuses(const ObjectApi &api) {
   std::vector<RolloutStatusObject> out;
-  for (const std::string &name : api.List(MoveStatusPrefix))
+  for (const std::string &name : api.List(RolloutStatusPrefix))
     if (const auto object = api.Read(name))
-      out.push_back(decodeMoveStatus(object->Body));
+      out.push_back(decodeRolloutStatus(object->Body));
   return out;
 }
 
--- a/Libraries/LibOperator/RolloutStatusObject.h
+++ b/Libraries/LibOperator/RolloutStatusObject.h
@@ -46,22 +46,23 @@
 };
 
 /// The prefix of the objects' names; the version's id follows.
-constexpr const char *MoveStatusPrefix = "status/moves/";
+constexpr const char *RolloutStatusPrefix = "status/moves/";
 
-/// An object with the prefix MoveStatusPrefix is not the status of a rollout.
+/// An object with the prefix RolloutStatusPrefix is not the status of a
+/// rollout.
 class RolloutStatusMalformed : public Error {
 public:
   using Error::Error;
 };
 
 /// Encodes the status as a JSON object on one line.
-std::string encodeMoveStatus(const RolloutStatusObject &status);
+std::string encodeRolloutStatus(const RolloutStatusObject &status);
 /// Decodes a status. Throws RolloutStatusMalformed.
-RolloutStatusObject decodeMoveStatus(const std::string &text);
+RolloutStatusObject decodeRolloutStatus(const std::string &text);
 
 /// Reads the status of all rollouts, sorted by the versions' ids. Throws
 /// ObjectApiUnavailable or RolloutStatusMalformed.
-std::vector<RolloutStatusObject> readMoveStatuses(const ObjectApi &api);
+std::vector<RolloutStatusObject> readRolloutStatuses(const ObjectApi &api);
 
 /// Whether the rollouts of all versions with a deadline have ended under this
 /// bundle. Daemons write the first status some time after the bundle is rolled,
--- a/Services/sorrelbayd/Daemon.cpp
+++ b/Services/sorrelbayd/Daemon.cpp
@@ -279,7 +279,7 @@
   Freshness.answered(peer, askedAt);
   const Instant until = Freshness.knownUntil(Peers.peers().size());
   if (until != Instant{})
-    Tracker.refreshed(until);
+    Tracker.confirmKnowledgeUntil(until);
 }
 
 void Daemon::exchangeRollouts() {
--- a/Services/sorrelbayd/GatewayRollouts.cpp
+++ b/Services/sorrelbayd/GatewayRollouts.cpp
@@ -141,7 +141,7 @@
     if (!serviceRollout.Run)
       continue;
     if (hasRecentReports)
-      serviceRollout.Run->refreshed(fleetNow);
+      serviceRollout.Run->confirmKnowledgeUntil(fleetNow);
     const RolloutStatus before = serviceRollout.Run->status();
     if (mayDecide)
       serviceRollout.Run->update(MergedKnowledge, fleetNow);
--- a/Services/sorrelbayd/RolloutExchange.cpp
+++ b/Services/sorrelbayd/RolloutExchange.cpp
@@ -32,7 +32,7 @@
   for (const std::string &name : Objects.List(RolloutPrefix))
     if (const auto object = Objects.Read(name))
       Tracker.receive(decodeRolloutKnowledge(object->Body));
-  Tracker.refreshed(askedAt);
+  Tracker.confirmKnowledgeUntil(askedAt);
 }
 
 void RolloutExchange::exchange() {
@@ -111,16 +111,16 @@
 void RolloutExchange::writeStatus(const RolloutView &rolloutView,
                                   std::uint64_t generation) {
   const RolloutStatusObject status = statusOf(rolloutView, generation);
-  const std::string name = MoveStatusPrefix + status.Version.text();
+  const std::string name = RolloutStatusPrefix + status.Version.text();
   const auto stored = Objects.Read(name);
   if (stored) {
-    const RolloutStatusObject known = decodeMoveStatus(stored->Body);
+    const RolloutStatusObject known = decodeRolloutStatus(stored->Body);
     const bool isSame = known.Generation == generation;
     if (known.Generation > generation ||
         (isSame && !isMoreAdvanced(status, known)))
       return;
   }
-  Objects.Write(name, encodeMoveStatus(status),
+  Objects.Write(name, encodeRolloutStatus(status),
                 stored ? stored->Version : AbsentVersion);
 }
 
--- a/Services/sorrelbayd/RolloutTracker.cpp
+++ b/Services/sorrelbayd/RolloutTracker.cpp
@@ -93,7 +93,7 @@
   const bool isCurrent = RefreshedAt >= ResumedAt;
   for (auto &it : ActiveRollouts)
     if (isCurrent)
-      it.second.Controller->refreshed(at);
+      it.second.Controller->confirmKnowledgeUntil(at);
 }
 
 void RolloutTracker::tick(const Bundle &bundle, Instant at) {
@@ -155,7 +155,7 @@
     Knowledge.Evidence.keepOnly(BundleVersions);
 }
 
-void RolloutTracker::refreshed(Instant askedAt) {
+void RolloutTracker::confirmKnowledgeUntil(Instant askedAt) {
   const std::lock_guard<std::mutex> lock(Mutex);
   RefreshedAt = std::max(RefreshedAt, askedAt);
 }
--- a/Services/sorrelbayd/RolloutTracker.h
+++ b/Services/sorrelbayd/RolloutTracker.h
@@ -51,7 +51,7 @@
   void receive(const RolloutKnowledge &incoming);
   /// Records that this daemon has all knowledge that the others had at the
   /// given time.
-  void refreshed(Instant askedAt);
+  void confirmKnowledgeUntil(Instant askedAt);
 
   std::vector<RolloutView> rolloutViews(const Bundle &bundle);
 
--- a/Tests/Integration/TestBadVersions.cpp
+++ b/Tests/Integration/TestBadVersions.cpp
@@ -86,7 +86,7 @@
 
   RolloutStatusObject status() const {
     const ObjectApi objects = connectObjectApi(Cluster.platform(), seconds(5));
-    for (const RolloutStatusObject &it : readMoveStatuses(objects))
+    for (const RolloutStatusObject &it : readRolloutStatuses(objects))
       if (it.Version == VersionId("v2"))
         return it;
     return {};
--- a/Tests/LibDecision/TestRollout.cpp
+++ b/Tests/LibDecision/TestRollout.cpp
@@ -113,7 +113,7 @@
   PeerFreshness peers;
   for (const char *it : {"127.0.0.2", "127.0.0.3"})
     peers.answered(HostId(it), Start);
-  rollout.refreshed(peers.knownUntil(3));
+  rollout.confirmKnowledgeUntil(peers.knownUntil(3));
   rollout.update(knowledge, Start);
   BOOST_CHECK_GT(keysToNew(rollout.shares(), true, Start), 300);
   const Instant resumed = Start + seconds(20);
@@ -122,10 +122,10 @@
   // peer, which may have been paused as well, is not enough.
   peers.answered(HostId("127.0.0.2"), resumed);
   peers.answered(HostId("127.0.0.3"), Start + milliseconds(100));
-  rollout.refreshed(peers.knownUntil(3));
+  rollout.confirmKnowledgeUntil(peers.knownUntil(3));
   BOOST_CHECK_EQUAL(keysToNew(rollout.shares(), true, resumed), 0);
   peers.answered(HostId("127.0.0.3"), resumed);
-  rollout.refreshed(peers.knownUntil(3));
+  rollout.confirmKnowledgeUntil(peers.knownUntil(3));
   BOOST_CHECK_GT(keysToNew(rollout.shares(), true, resumed), 300);
 }
 
@@ -134,7 +134,7 @@
   raiseStage(knowledge, VersionId("new"), {3, Start});
   addVeto(knowledge, vetoAt(Start, "127.0.0.2"));
   Rollout rollout(planFor(DeadlinePolicy::InTime), Self);
-  rollout.refreshed(Start + hours(1));
+  rollout.confirmKnowledgeUntil(Start + hours(1));
   for (int n = 0; n < 40; ++n) {
     rollout.update(knowledge, Start + minutes(n));
     BOOST_CHECK_EQUAL(keysToNew(rollout.shares(), true, Start + minutes(n)), 0);
@@ -152,7 +152,7 @@
   BOOST_CHECK(knowledge.Stages.empty());
   raiseStage(knowledge, VersionId("new"), {3, Start});
   const Instant now = Start + minutes(21);
-  rollout.refreshed(now);
+  rollout.confirmKnowledgeUntil(now);
   rollout.follow(knowledge, now);
   BOOST_CHECK_GT(keysToNew(rollout.shares(), true, now), 300);
   BOOST_CHECK(rollout.state() == RolloutState::Moving);
@@ -168,7 +168,7 @@
     RolloutKnowledge knowledge;
     Rollout rollout(planFor(policy), Self);
     for (int n = 0; n <= 30 * 60; ++n) {
-      rollout.refreshed(Start + seconds(n));
+      rollout.confirmKnowledgeUntil(Start + seconds(n));
       rollout.update(knowledge, Start + seconds(n));
     }
     const RolloutStatus status = rollout.status();
--- a/Tests/LibOperator/TestBundleRoll.cpp
+++ b/Tests/LibOperator/TestBundleRoll.cpp
@@ -124,10 +124,10 @@
   status.Deadline = Instant(seconds(90));
   status.Evidence = {{RouteId("quote"), {200, 31, 4}}};
   status.Reason = "31 of 200 calls failed on quote";
-  const std::string text = encodeMoveStatus(status);
-  BOOST_CHECK_EQUAL(encodeMoveStatus(decodeMoveStatus(text)), text);
-  BOOST_CHECK_THROW(decodeMoveStatus("{}"), RolloutStatusMalformed);
-  BOOST_CHECK_THROW(decodeMoveStatus("x"), RolloutStatusMalformed);
+  const std::string text = encodeRolloutStatus(status);
+  BOOST_CHECK_EQUAL(encodeRolloutStatus(decodeRolloutStatus(text)), text);
+  BOOST_CHECK_THROW(decodeRolloutStatus("{}"), RolloutStatusMalformed);
+  BOOST_CHECK_THROW(decodeRolloutStatus("x"), RolloutStatusMalformed);
 }
 
 // The tool reads the status right after a roll, before a daemon has written it.
--- a/Utilities/sorrelbay-bench/CanaryModel.cpp
+++ b/Utilities/sorrelbay-bench/CanaryModel.cpp
@@ -258,9 +258,9 @@
     if (!Variant.JudgesAfterFullShare && isFull &&
         daemon.Knowledge.Vetoes.empty())
       return;
-    daemon.OwnRollout->refreshed(Variant.ChecksStaleness
-                                     ? daemon.Freshness.knownUntil(peers())
-                                     : Now + hours(1));
+    daemon.OwnRollout->confirmKnowledgeUntil(
+        Variant.ChecksStaleness ? daemon.Freshness.knownUntil(peers())
+                                : Now + hours(1));
     daemon.OwnRollout->update(daemon.Knowledge, Now);
     noteVeto(daemon);
     const bool hasStateChanged = before != daemon.OwnRollout->state();
--- a/Utilities/sorrelbay/StatusReport.cpp
+++ b/Utilities/sorrelbay/StatusReport.cpp
@@ -78,7 +78,7 @@
 } // namespace
 
 StatusReport readStatusReport(const ObjectApi &api) {
-  return {readCurrentBundle(api), readMoveStatuses(api)};
+  return {readCurrentBundle(api), readRolloutStatuses(api)};
 }
 
 std::string renderTable(const StatusReport &report, bool isColoured) {
@@ -104,7 +104,7 @@
                      {"key", report.Current->SignedBy.text()}};
   out["moves"] = ordered_json::array();
   for (const RolloutStatusObject &it : report.Rollouts)
-    out["moves"].push_back(ordered_json::parse(encodeMoveStatus(it)));
+    out["moves"].push_back(ordered_json::parse(encodeRolloutStatus(it)));
   return out.dump(-1, ' ', false, ordered_json::error_handler_t::replace) +
          "\n";
 }
