--- a/Tests/Integration/TestBundles.cpp
+++ b/Tests/Integration/TestBundles.cpp
@@ -97,8 +97,9 @@
   const ObjectApi api = connectObjectApi(deployment.platform(), Timeout);
   rollBundle(api, bundleSignedWith(50, SigningKey::generate()));
   const TestDaemon &daemon = *deployment.Daemons[0];
-  waitUntil("rejection of the bundle with an unaccepted key",
-            [&] { return daemon.Process->hasLogged("is not accepted here"); });
+  waitUntil("rejection of the bundle with an unaccepted key", [&] {
+    return daemon.Process->hasLogged("is not an accepted key");
+  });
   const auto stored = api.Read(CurrentBundleObject);
   api.Write(CurrentBundleObject, "not a bundle", stored->Version);
   waitUntil("rejection of the bytes that are not a bundle",
